--- a/src/host/download/version_download.cpp
+++ b/src/host/download/version_download.cpp
@@ -73,9 +73,9 @@
   manifest_at_ = loop_now();
   seeker_.stop();
   chunks_.assign(manifest_->hashes.size(), nullptr);
-  context_.on_line("manifest", "manifest model=" + model_ + " version=" + std::to_string(version_) +
-                                   " chunks=" + std::to_string(chunks_.size()) +
-                                   " source=" + source);
+  context_.log_line("manifest",
+                    "manifest model=" + model_ + " version=" + std::to_string(version_) +
+                        " chunks=" + std::to_string(chunks_.size()) + " source=" + source);
   pass_manifest_on();
 }
 
@@ -103,10 +103,10 @@
     chunks_[chunk] = bytes->second;
     have.insert(chunk);
   }
-  context_.on_line("transfer", "transfer model=" + model_ + " version=" + std::to_string(version_) +
-                                   " held=" + std::to_string(have.count()) +
-                                   " of=" + std::to_string(chunks_.size()) +
-                                   " peers=" + std::to_string(peers_.size()));
+  context_.log_line("transfer",
+                    "transfer model=" + model_ + " version=" + std::to_string(version_) + " held=" +
+                        std::to_string(have.count()) + " of=" + std::to_string(chunks_.size()) +
+                        " peers=" + std::to_string(peers_.size()));
   transfer_begun_ = loop_now();
   SwarmOptions options =
       download_options(self_, version_, peers_.size(), context_.origin.connection_limit());
@@ -241,13 +241,13 @@
 }
 
 void VersionDownload::act(const SwarmComplete&) {
-  context_.on_line("weights", "weights model=" + model_ + " version=" + std::to_string(version_) +
-                                  " state=COMPLETE took_ms=" +
-                                  std::to_string(to_milliseconds(loop_now() - named_at_)));
+  context_.log_line("weights", "weights model=" + model_ + " version=" + std::to_string(version_) +
+                                   " state=COMPLETE took_ms=" +
+                                   std::to_string(to_milliseconds(loop_now() - named_at_)));
 }
 
 void VersionDownload::act(const PeerAvoided& action) {
-  context_.on_line(
+  context_.log_line(
       "peer", "peer id=" + std::to_string(action.peer) + " state=AVOIDED reason=corrupt_chunks");
 }
 
--- a/src/host/download/version_download.h
+++ b/src/host/download/version_download.h
@@ -47,7 +47,7 @@
   LinkGauge upload_gauge;
   LinkGauge download_gauge;
   /// A decision worth a line.
-  std::function<void(const std::string& kind, const std::string& line)> on_line;
+  std::function<void(const std::string& kind, const std::string& line)> log_line;
 };
 
 class VersionDownload {
--- a/src/host/host_daemon.cpp
+++ b/src/host/host_daemon.cpp
@@ -143,7 +143,7 @@
     if (!peers_overdue_) stager->wait_for_peers();
     stager->on_load(load_);
     const auto named = named_.find(model.name);
-    if (named != named_.end()) stager->on_named(named->second);
+    if (named != named_.end()) stager->on_version_named(named->second);
     stagers_[model.name] = std::move(stager);
   }
 }
@@ -206,7 +206,7 @@
            "weights model=" + model + " version=" + std::to_string(version) + " state=NAMED");
   const auto stager = stagers_.find(model);
   if (stager == stagers_.end()) return;
-  stager->second->on_named(version);
+  stager->second->on_version_named(version);
   tick_soon();
 }
 
@@ -460,13 +460,14 @@
 }
 
 void HostDaemon::tick() {
-  bool moving = false;
+  bool needs_frequent_ticks = false;
   for (const auto& [model, stager] : stagers_) {
     stager->on_tick();
-    moving = moving || stager->moving();
+    needs_frequent_ticks = needs_frequent_ticks || stager->needs_frequent_ticks();
   }
   check_stopped(loop_now());
-  tick_timer_.start_once(moving ? kTickInterval : kIdleTickInterval, [this] { tick(); });
+  tick_timer_.start_once(needs_frequent_ticks ? kTickInterval : kIdleTickInterval,
+                         [this] { tick(); });
 }
 
 }  // namespace pumicemast
--- a/src/host/staging/engine_stager.cpp
+++ b/src/host/staging/engine_stager.cpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <cassert>
 
-#include "host/staging/settling.h"
 #include "host/staging/staging_marker.h"
+#include "host/staging/start_readiness.h"
 
 namespace pumicemast {
 namespace {
@@ -13,12 +13,12 @@
 constexpr Duration kCheckLifetime = milliseconds(1500);
 /// The same while an order waits for requests to begin, or has to be given again. A chunk that
 /// turns bad is to be found within 3 s.
-constexpr Duration kCheckLifetimeAtOrder = kCheckLifetime + SettlingOptions{}.longest;
+constexpr Duration kCheckLifetimeAtOrder = kCheckLifetime + StartReadinessOptions{}.max_wait;
 /// An order without an answer is given again after so long: each costs a call to the engine, and
 /// meanwhile the engine serves nobody.
-constexpr Duration kOrderRetry = milliseconds(100);
+constexpr Duration kOrderRetryInterval = milliseconds(100);
 /// An order to start that shows no effect for so long is given again.
-constexpr Duration kStartPatience = milliseconds(1500);
+constexpr Duration kStartTimeout = milliseconds(1500);
 
 }  // namespace
 
@@ -45,12 +45,12 @@
       callbacks_(std::move(callbacks)),
       state_(chart.initial()) {}
 
-void EngineStager::step(const char* event) {
+void EngineStager::apply_event(const char* event) {
   const std::string next = chart_.next(state_, event);
   if (next == state_) return;
   const std::uint64_t version = source_ == nullptr ? 0 : source_->version();
-  callbacks_.on_line("staging", "staging model=" + model_ + " version=" + std::to_string(version) +
-                                    " event=" + event + " state=" + state_ + "->" + next);
+  callbacks_.log_line("staging", "staging model=" + model_ + " version=" + std::to_string(version) +
+                                     " event=" + event + " state=" + state_ + "->" + next);
   state_ = next;
 }
 
@@ -61,16 +61,16 @@
   orders_.begin_version();
   ++generation_;
   writing_ = false;
-  turn_.reset();
-  step("target_changed");
+  scheduled_start_.reset();
+  apply_event("target_changed");
   if (source_ == nullptr) return;
   staged_.resize(source_->chunks().size());
   marker_ = encode_staging_marker(*source_->manifest());
   marker_hash_ = sha256(marker_);
-  step("manifest_read");
+  apply_event("manifest_read");
 }
 
-void EngineStager::note_staged(ChunkIndex chunk, const Sha256& hash) {
+void EngineStager::record_staged(ChunkIndex chunk, const Sha256& hash) {
   if (chunk >= staged_.size()) staged_.resize(chunk + 1);
   staged_[chunk] = hash;
 }
@@ -79,22 +79,22 @@
   return source_ != nullptr && load_.weight_version == source_->version() && !load_.busy;
 }
 
-bool EngineStager::has_taken() const {
+bool EngineStager::has_activated() const {
   if (order_pending()) return false;
   return serving() || (state_ == "STARTING" && orders_.carried_out());
 }
 
 std::optional<TimePoint> EngineStager::leaves_at() const {
   const bool planned = state_ == "READY" && load_.weight_version != 0;
-  return planned ? turn_ : std::nullopt;
+  return planned ? scheduled_start_ : std::nullopt;
 }
 
 void EngineStager::on_tick(TimePoint now) {
   if (state_ == "FETCHING") {
     write_missing();
-  } else if (state_ == "READY" && turn_ && now >= *turn_) {
+  } else if (state_ == "READY" && scheduled_start_ && now >= *scheduled_start_) {
     if (now - checked_at_ > kCheckLifetime) {
-      step("check_expired");
+      apply_event("check_expired");
       check_staged(0);
     } else {
       begin_start();
@@ -108,58 +108,59 @@
   // An engine that says nothing must not be taken for one that serves nothing.
   if (!load_.alive) return;
   if (!ordered_) {
-    const bool serves_nothing = load_.weight_version == 0;
-    if (has_settled(now - turn_came_at_, callbacks_.prompts_wait(), serves_nothing)) {
+    const bool holds_no_weights = load_.weight_version == 0;
+    if (ready_to_start(now - gateways_notified_at_, callbacks_.prompts_waiting(),
+                       holds_no_weights)) {
       order_start(now);
     }
     return;
   }
-  if (orders_.under_way()) return;
+  if (orders_.in_flight()) return;
   const Duration since_order = now - ordered_at_;
-  const bool again = orders_.unanswered() || orders_.overtaken(load_.order_sequence);
-  if (again && since_order >= kOrderRetry) {
+  const bool retry = orders_.unanswered() || orders_.stale(load_.order_sequence);
+  if (retry && since_order >= kOrderRetryInterval) {
     order_start(now);
-  } else if (since_order > kStartPatience && !load_.busy && !serves_source()) {
-    step("start_failed");
+  } else if (since_order > kStartTimeout && !load_.busy && !serves_source()) {
+    apply_event("start_failed");
     check_staged(0);
   }
 }
 
-bool EngineStager::lies_there(ChunkIndex chunk) const {
+bool EngineStager::is_staged(ChunkIndex chunk) const {
   return staged_[chunk] == source_->manifest()->hashes[chunk];
 }
 
-bool EngineStager::wants_marker() const {
+bool EngineStager::needs_marker() const {
   // What an order may still take must stay whole.
-  if (!marking_allowed_ || order_pending() || staged_[kMarkerPlace] == marker_hash_) return false;
+  if (!marking_allowed_ || order_pending() || staged_[kMarkerChunk] == marker_hash_) return false;
   const auto count = static_cast<ChunkIndex>(source_->manifest()->hashes.size());
-  for (ChunkIndex chunk = kMarkerPlace + 1; chunk < count; ++chunk) {
-    if (!lies_there(chunk)) return true;
+  for (ChunkIndex chunk = kMarkerChunk + 1; chunk < count; ++chunk) {
+    if (!is_staged(chunk)) return true;
   }
   return false;
 }
 
 std::optional<ChunkIndex> EngineStager::next_chunk() const {
   const auto count = static_cast<ChunkIndex>(source_->manifest()->hashes.size());
-  bool others_lie_there = true;
-  for (ChunkIndex chunk = kMarkerPlace + 1; chunk < count; ++chunk) {
-    if (lies_there(chunk)) continue;
+  bool others_staged = true;
+  for (ChunkIndex chunk = kMarkerChunk + 1; chunk < count; ++chunk) {
+    if (is_staged(chunk)) continue;
     if (source_->chunks()[chunk]) return chunk;
-    others_lie_there = false;
+    others_staged = false;
   }
-  const bool last = others_lie_there && !lies_there(kMarkerPlace);
-  return last && source_->chunks()[kMarkerPlace] ? std::optional(kMarkerPlace) : std::nullopt;
+  const bool last = others_staged && !is_staged(kMarkerChunk);
+  return last && source_->chunks()[kMarkerChunk] ? std::optional(kMarkerChunk) : std::nullopt;
 }
 
-void EngineStager::write(ChunkIndex place, const std::string& bytes, const Sha256& hash) {
+void EngineStager::write(ChunkIndex chunk, const std::string& bytes, const Sha256& hash) {
   writing_ = true;
-  staged_[place].reset();
-  engine_.write_staged(model_, place, bytes,
-                       [this, generation = generation_, place, hash](bool done) {
+  staged_[chunk].reset();
+  engine_.write_staged(model_, chunk, bytes,
+                       [this, generation = generation_, chunk, hash](bool done) {
                          if (generation != generation_) return;
                          writing_ = false;
                          if (!done) return;  // Tried again at the next tick.
-                         staged_[place] = hash;
+                         staged_[chunk] = hash;
                          write_missing();
                        });
 }
@@ -167,8 +168,8 @@
 void EngineStager::write_missing() {
   if (writing_ || state_ != "FETCHING" || !load_.alive) return;
   const auto& hashes = source_->manifest()->hashes;
-  if (wants_marker()) {
-    write(kMarkerPlace, marker_, marker_hash_);
+  if (needs_marker()) {
+    write(kMarkerChunk, marker_, marker_hash_);
     return;
   }
   if (const auto chunk = next_chunk()) {
@@ -177,7 +178,7 @@
   }
   const bool all_staged = std::equal(hashes.begin(), hashes.end(), staged_.begin());
   if (hashes.empty() || !all_staged) return;
-  step("all_staged");
+  apply_event("all_staged");
   if (serves_source()) {
     on_verified();
   } else {
@@ -192,7 +193,7 @@
     if (std::equal(hashes.begin(), hashes.end(), staged_.begin())) {
       on_verified();
     } else {
-      step("spoilt");
+      apply_event("spoilt");
       write_missing();
     }
     return;
@@ -214,16 +215,17 @@
 }
 
 void EngineStager::on_verified() {
-  step("verified");
+  apply_event("verified");
   const TimePoint now = loop_now();
   if (serves_source()) {
-    step("turn_came");
-    step("serving");
+    apply_event("turn_came");
+    apply_event("serving");
     return;
   }
   // A turn that was planned before an earlier check stands.
-  if (!turn_) turn_ = load_.weight_version == 0 ? now : callbacks_.plan_turn(now);
-  if (*turn_ <= now) {
+  if (!scheduled_start_)
+    scheduled_start_ = load_.weight_version == 0 ? now : callbacks_.schedule_start(now);
+  if (*scheduled_start_ <= now) {
     begin_start();
   } else {
     callbacks_.on_leaving();
@@ -231,16 +233,16 @@
 }
 
 void EngineStager::begin_start() {
-  step("turn_came");
+  apply_event("turn_came");
   callbacks_.on_leaving();
   // Gateways stop sending now; what has reached the engine begins before it changes over.
-  turn_came_at_ = loop_now();
+  gateways_notified_at_ = loop_now();
   ordered_ = false;
 }
 
 void EngineStager::order_start(TimePoint now) {
   if (now - checked_at_ > kCheckLifetimeAtOrder) {
-    step("start_failed");
+    apply_event("start_failed");
     check_staged(0);
     return;
   }
@@ -254,12 +256,12 @@
 void EngineStager::on_start_outcome(StartOutcome outcome) {
   orders_.on_outcome(outcome);
   metrics_.count("pumicemast_host_start_orders_total", {{"outcome", to_string(outcome)}});
-  callbacks_.on_line("start",
-                     "start model=" + model_ + " version=" + std::to_string(source_->version()) +
-                         " attempt=" + std::to_string(orders_.attempts()) +
-                         " took_ms=" + std::to_string(to_milliseconds(loop_now() - ordered_at_)) +
-                         " outcome=" + to_string(outcome));
-  if (outcome == StartOutcome::already_serving) step("serving");
+  callbacks_.log_line("start",
+                      "start model=" + model_ + " version=" + std::to_string(source_->version()) +
+                          " attempt=" + std::to_string(orders_.attempts()) +
+                          " took_ms=" + std::to_string(to_milliseconds(loop_now() - ordered_at_)) +
+                          " outcome=" + to_string(outcome));
+  if (outcome == StartOutcome::already_serving) apply_event("serving");
 }
 
 void EngineStager::on_load(const LoadReport& report) {
@@ -268,16 +270,16 @@
   const bool settled = orders_.on_report(report.order_sequence, report.started_at_ms);
   const bool nothing_to_do = serves_source() && orders_.on_served();
   if (settled || nothing_to_do) {
-    callbacks_.on_line(
+    callbacks_.log_line(
         "start", "start model=" + model_ + " version=" + std::to_string(source_->version()) +
                      " sequence=" + std::to_string(report.order_sequence) +
                      " outcome=" + (orders_.carried_out() ? "begun" : "void") + " source=report");
   }
-  if (state_ == "STARTING" && serves_source()) step("serving");
+  if (state_ == "STARTING" && serves_source()) apply_event("serving");
   if (serving() && report.weight_version != source_->version() && !report.busy) {
     // The engine was started anew, or lost its layers.
-    step("engine_lost");
-    turn_.reset();
+    apply_event("engine_lost");
+    scheduled_start_.reset();
     check_staged(0);
   }
 }
--- a/src/host/staging/engine_stager.h
+++ b/src/host/staging/engine_stager.h
@@ -25,10 +25,10 @@
     /// When the engine leaves service has become known, or it is about to: gateways should know.
     std::function<void()> on_leaving;
     /// Whether requests that gateways sent to the engine have not begun yet.
-    std::function<bool()> prompts_wait;
+    std::function<bool()> prompts_waiting;
     /// When this engine may leave service for the version that is staged.
-    std::function<TimePoint(TimePoint now)> plan_turn;
-    std::function<void(const std::string& kind, const std::string& line)> on_line;
+    std::function<TimePoint(TimePoint now)> schedule_start;
+    std::function<void(const std::string& kind, const std::string& line)> log_line;
   };
 
   EngineStager(std::string model, const StateChart& chart, EngineControl& engine, Metrics& metrics,
@@ -37,14 +37,14 @@
   /// Goes on with the version of `source`, whose manifest is known; null for none.
   void set_source(const VersionDownload* source);
   /// What lay at the engine in this place, as it was read: it need not be written again.
-  void note_staged(ChunkIndex chunk, const Sha256& hash);
+  void record_staged(ChunkIndex chunk, const Sha256& hash);
   /// No earlier process's order is pending: what lies there may be marked as no whole version.
   void allow_marking() { marking_allowed_ = true; }
   void on_load(const LoadReport& report);
   void on_tick(TimePoint now);
 
   /// The engine has taken, or is just taking, what lies there: it may be written over.
-  bool has_taken() const;
+  bool has_activated() const;
   /// An order may still be carried out, and would take what lies there by then.
   bool order_pending() const { return orders_.pending(); }
   bool serving() const { return state_ == "LIVE"; }
@@ -54,16 +54,16 @@
   std::optional<TimePoint> leaves_at() const;
 
  private:
-  void step(const char* event);
+  void apply_event(const char* event);
   bool serves_source() const;
   void write_missing();
   /// Whether chunks are still to be written that a marker has to precede.
-  bool wants_marker() const;
-  bool lies_there(ChunkIndex chunk) const;
+  bool needs_marker() const;
+  bool is_staged(ChunkIndex chunk) const;
   /// The next chunk to write; nothing when all lie there, or those missing are not here yet.
   std::optional<ChunkIndex> next_chunk() const;
   /// @param hash  of `bytes`.
-  void write(ChunkIndex place, const std::string& bytes, const Sha256& hash);
+  void write(ChunkIndex chunk, const std::string& bytes, const Sha256& hash);
   void check_staged(ChunkIndex chunk);
   void on_checked(ChunkIndex chunk, bool intact);
   void on_verified();
@@ -88,8 +88,8 @@
   Sha256 marker_hash_{};
   bool writing_ = false;
   TimePoint checked_at_{};
-  std::optional<TimePoint> turn_;
-  TimePoint turn_came_at_{};
+  std::optional<TimePoint> scheduled_start_;
+  TimePoint gateways_notified_at_{};
   bool ordered_ = false;  ///< Within STARTING.
   TimePoint ordered_at_{};
   StartOrders orders_;
--- a/src/host/staging/model_stager.cpp
+++ b/src/host/staging/model_stager.cpp
@@ -6,31 +6,31 @@
 #include "common/hash.h"
 #include "host/download/download_tuning.h"
 #include "host/download/manifest_codec.h"
-#include "host/staging/start_turns.h"
+#include "host/staging/start_schedule.h"
 
 namespace pumicemast {
 namespace {
 
 /// An engine that has not answered for so long is not asked what it holds before the transfer.
-constexpr Duration kEnginePatience = milliseconds(2500);
+constexpr Duration kInventoryTimeout = milliseconds(2500);
 /// A process this young does not know when a version was named.
-constexpr Duration kNewProcess = seconds(3);
+constexpr Duration kStartupPeriod = seconds(3);
 /// A version is finished before the next if that one was named at least so many times the time
 /// later that a link needs for one copy. Earlier, one changeover for both is cheaper. All agents
 /// must decide alike: who drops a version also stops bringing its chunks to others.
-constexpr double kFinishingCopyTimes = 1.3;
+constexpr double kMinimumCopyTimes = 1.3;
 /// Where links have no stated rate a copy is thought to take so long.
-constexpr Duration kUnknownCopyTime = seconds(3);
+constexpr Duration kDefaultCopyTime = seconds(3);
 /// The share of the changeover after which a version can't be brought to engines in time.
-constexpr double kHopelessShare = 0.86;
+constexpr double kAbandonFraction = 0.86;
 /// With so much of a version here the next one begins: links fall idle one by one.
-constexpr double kNearlyCompleteShare = 0.75;
+constexpr double kNearlyCompleteFraction = 0.75;
 
 }  // namespace
 
 template <class Visit>
 void ModelStager::for_each_download(Visit visit) {
-  for (const DownloadPointer* download : {&current_, &next_, &previous_, &inherited_download_}) {
+  for (const DownloadPointer* download : {&current_, &next_, &previous_, &recovery_download_}) {
     if (*download) visit(**download);
   }
 }
@@ -56,93 +56,95 @@
                metrics,
                LinkGauge(kUploadSlots),
                LinkGauge(kChunkWindow),
-               callbacks_.on_line},
+               callbacks_.log_line},
       engine_stager_(model_, chart, engine, metrics,
-                     {callbacks_.on_leaving, callbacks_.prompts_wait,
+                     {callbacks_.on_leaving, callbacks_.prompts_waiting,
                       [this](TimePoint now) {
-                        return claim_ == EngineClaim::order_again ? now : plan_turn(now, now);
+                        return recovery_state_ == RecoveryState::reissue_order
+                                   ? now
+                                   : schedule_start(now, now);
                       },
-                      callbacks_.on_line}),
-      began_(loop_now()),
+                      callbacks_.log_line}),
+      started_at_(loop_now()),
       inventory_(model_, engine),
-      inherited_(began_),
-      current_(make_download(0, began_)) {}
+      recovery_(started_at_),
+      current_(make_download(0, started_at_)) {}
 
 ModelStager::DownloadPointer ModelStager::make_download(std::uint64_t version, TimePoint named_at) {
-  const bool joins_late = loop_now() - began_ < kNewProcess;
+  const bool joins_late = loop_now() - started_at_ < kStartupPeriod;
   auto download =
       std::make_unique<VersionDownload>(model_, version, named_at, joins_late, context_);
   download->set_peers(peers_);
   return download;
 }
 
-bool ModelStager::moving() const {
+bool ModelStager::needs_frequent_ticks() const {
   return next_ || !current_->complete() || !engine_stager_.serving() ||
-         claim_ != EngineClaim::released;
+         recovery_state_ != RecoveryState::done;
 }
 
 std::uint64_t ModelStager::newest() const {
-  const std::uint64_t begun = next_ ? next_->version() : current_->version();
-  return std::max(begun, waiting_version_);
+  const std::uint64_t newest_download = next_ ? next_->version() : current_->version();
+  return std::max(newest_download, pending_version_);
 }
 
 // ---- which version ----
 
-void ModelStager::on_named(std::uint64_t version) {
+void ModelStager::on_version_named(std::uint64_t version) {
   if (version <= newest()) return;
   const TimePoint now = loop_now();
-  if (waiting_version_ == 0) waiting_since_ = now;
-  waiting_version_ = version;
+  if (pending_version_ == 0) pending_since_ = now;
+  pending_version_ = version;
   named_at_.emplace(version, now);
-  callbacks_.on_line("staging", "staging model=" + model_ +
-                                    " event=named version=" + std::to_string(version) +
-                                    " current=" + std::to_string(current_->version()) +
-                                    " progress=" + std::to_string(current_->progress()));
-  begin_next(now);
+  callbacks_.log_line("staging", "staging model=" + model_ +
+                                     " event=named version=" + std::to_string(version) +
+                                     " current=" + std::to_string(current_->version()) +
+                                     " progress=" + std::to_string(current_->progress()));
+  start_next_download(now);
 }
 
-void ModelStager::begin_next(TimePoint now) {
-  if (waiting_version_ == 0) return;
+void ModelStager::start_next_download(TimePoint now) {
+  if (pending_version_ == 0) return;
   const bool finishing = !current_->complete() && worth_finishing(now);
-  if (finishing && current_->progress() < kNearlyCompleteShare) return;
-  TimePoint named_at = waiting_since_;
-  if (named_at - began_ < kNewProcess) named_at -= settings_.changeover / 2;
-  next_ = make_download(waiting_version_, named_at);
-  waiting_version_ = 0;
+  if (finishing && current_->progress() < kNearlyCompleteFraction) return;
+  TimePoint named_at = pending_since_;
+  if (named_at - started_at_ < kStartupPeriod) named_at -= settings_.changeover / 2;
+  next_ = make_download(pending_version_, named_at);
+  pending_version_ = 0;
   // What can't be completed any more makes room at once.
-  if (!current_->complete() && !finishing) change_over_to_next();
+  if (!current_->complete() && !finishing) promote_next();
 }
 
 bool ModelStager::worth_finishing(TimePoint now) const {
   if (!current_->transferring()) return false;
-  const TimePoint next_named_at = next_ ? next_->named_at() : waiting_since_;
-  const Duration given = next_named_at - current_->named_at();
-  const auto hopeless_after = static_cast<Duration::rep>(
-      static_cast<double>(settings_.changeover.count()) * kHopelessShare);
-  return given >= copy_time() * kFinishingCopyTimes &&
-         now - current_->named_at() < Duration(hopeless_after);
+  const TimePoint next_named_at = next_ ? next_->named_at() : pending_since_;
+  const Duration lead_time = next_named_at - current_->named_at();
+  const auto abandon_after = static_cast<Duration::rep>(
+      static_cast<double>(settings_.changeover.count()) * kAbandonFraction);
+  return lead_time >= copy_time() * kMinimumCopyTimes &&
+         now - current_->named_at() < Duration(abandon_after);
 }
 
 Duration ModelStager::copy_time() const {
-  if (settings_.link_bytes_per_second <= 0) return kUnknownCopyTime;
+  if (settings_.link_bytes_per_second <= 0) return kDefaultCopyTime;
   const auto& manifest = *current_->manifest();
   const double bytes =
       static_cast<double>(manifest.chunk_bytes) * static_cast<double>(manifest.hashes.size());
   return from_seconds(bytes / settings_.link_bytes_per_second);
 }
 
-bool ModelStager::current_is_done_with(TimePoint now) const {
+bool ModelStager::can_replace_current(TimePoint now) const {
   if (!current_->complete()) return !worth_finishing(now);
   // The next version would be written over what the engine may still take.
   if (engine_stager_.order_pending()) return false;
   // Both are here: one changeover is enough, unless an earlier process may have ordered this one.
-  const bool may_be_passed_over = claim_ == EngineClaim::released && next_->complete();
-  return engine_stager_.has_taken() || may_be_passed_over;
+  const bool may_be_skipped = recovery_state_ == RecoveryState::done && next_->complete();
+  return engine_stager_.has_activated() || may_be_skipped;
 }
 
-void ModelStager::change_over_to_next() {
+void ModelStager::promote_next() {
   // A version that is to be taken first stays the engine's source.
-  if (!inherited_download_) engine_stager_.set_source(nullptr);
+  if (!recovery_download_) engine_stager_.set_source(nullptr);
   if (!current_->complete()) {
     current_->stop_fetching();
     context_.origin.cancel_chunks(model_, current_->version());
@@ -151,17 +153,18 @@
   current_ = std::move(next_);
 }
 
-TimePoint ModelStager::plan_turn(TimePoint ready_at, TimePoint now) {
-  if (foreseen_version_ != current_->version()) {
-    foreseen_version_ = current_->version();
-    foreseen_at_ = now;
+TimePoint ModelStager::schedule_start(TimePoint ready_at, TimePoint now) {
+  if (notified_version_ != current_->version()) {
+    notified_version_ = current_->version();
+    notified_at_ = now;
   }
-  StartTurnOptions options;
+  StartScheduleOptions options;
   options.changeover = settings_.changeover;
   const auto first_newer = named_at_.upper_bound(load_.weight_version);
-  if (first_newer != named_at_.end()) options.older_named_at = first_newer->second;
-  options.notice = std::max(Duration::zero(), options.notice - (now - foreseen_at_));
-  return start_turn(self_, agents_, current_->version(), current_->named_at(), ready_at, options);
+  if (first_newer != named_at_.end()) options.first_newer_named_at = first_newer->second;
+  options.notice = std::max(Duration::zero(), options.notice - (now - notified_at_));
+  return scheduled_start(self_, agents_, current_->version(), current_->named_at(), ready_at,
+                         options);
 }
 
 std::optional<TimePoint> ModelStager::leaves_at(TimePoint now) {
@@ -171,7 +174,7 @@
   if (!serves_older || current_->complete()) return std::nullopt;
   const auto complete_at = current_->expected_completion(now);
   if (!complete_at) return std::nullopt;
-  return plan_turn(*complete_at, now);
+  return schedule_start(*complete_at, now);
 }
 
 // ---- what the engine already holds ----
@@ -189,101 +192,102 @@
     if (!download.manifest() || download.transferring()) return;
     // What lies at the engine need not be fetched. But it may be silent, and others may need what
     // this agent would fetch.
-    if (!inventory_.complete() && now - download.manifest_at() < kEnginePatience) return;
+    if (!inventory_.complete() && now - download.manifest_at() < kInventoryTimeout) return;
     download.begin_transfer(all_known_bytes());
   });
 }
 
 std::uint64_t ModelStager::serving_version() const { return load_.busy ? 0 : load_.weight_version; }
 
-void ModelStager::settle_inherited(TimePoint now) {
-  if (claim_ == EngineClaim::released) return;
-  if (claim_ == EngineClaim::order_again) {
+void ModelStager::recover_staging(TimePoint now) {
+  if (recovery_state_ == RecoveryState::done) return;
+  if (recovery_state_ == RecoveryState::reissue_order) {
     // An engine that declines it must not be kept from new weights for good.
-    const bool declined = inherited_.too_long_ago(now) && !engine_stager_.order_pending();
-    if (engine_stager_.has_taken() || declined) release_engine();
+    const bool declined = recovery_.earlier_orders_expired(now) && !engine_stager_.order_pending();
+    if (engine_stager_.has_activated() || declined) finish_recovery();
     return;
   }
   if (!inventory_.complete()) {
     if (load_.alive) inventory_.read();
     return;
   }
-  take_over_marked();
+  adopt_marked_version();
   if (!current_->manifest()) return;
-  inherited_.on_read(inventory_.hashes());
-  note_manifest(*current_->manifest());
-  seek_earlier_manifests(now);
-  const auto verdict = inherited_.decide(current_->version(), serving_version(), now);
-  if (verdict.kind == InheritedStagingVerdict::Kind::undecided) return;
-  for (ChunkIndex place = 0; place < inventory_.hashes().size(); ++place) {
-    const auto& hash = inventory_.hashes()[place];
-    if (hash) engine_stager_.note_staged(place, *hash);
+  recovery_.on_inventory(inventory_.hashes());
+  record_manifest(*current_->manifest());
+  fetch_earlier_manifests(now);
+  const auto decision = recovery_.decide(current_->version(), serving_version(), now);
+  if (decision.kind == StagingRecoveryDecision::Kind::undecided) return;
+  for (ChunkIndex chunk = 0; chunk < inventory_.hashes().size(); ++chunk) {
+    const auto& hash = inventory_.hashes()[chunk];
+    if (hash) engine_stager_.record_staged(chunk, *hash);
   }
-  if (verdict.kind == InheritedStagingVerdict::Kind::order_again) {
-    order_again(verdict.version);
+  if (decision.kind == StagingRecoveryDecision::Kind::reissue_order) {
+    reissue_order(decision.version);
   } else {
-    release_engine();
+    finish_recovery();
   }
 }
 
-void ModelStager::take_over_marked() {
-  if (!inventory_.marked()) return;
-  inherited_.on_marked();
-  for_each_download(
-      [&](VersionDownload& download) { download.take_manifest(*inventory_.marked(), "staging"); });
+void ModelStager::adopt_marked_version() {
+  if (!inventory_.marker_manifest()) return;
+  recovery_.on_marker_found();
+  for_each_download([&](VersionDownload& download) {
+    download.take_manifest(*inventory_.marker_manifest(), "staging");
+  });
 }
 
-void ModelStager::seek_earlier_manifests(TimePoint now) {
+void ModelStager::fetch_earlier_manifests(TimePoint now) {
   for (const std::uint64_t version :
-       inherited_.wanted_manifests(current_->version(), serving_version())) {
-    auto& seeker = earlier_manifests_[version];
+       recovery_.missing_manifests(current_->version(), serving_version())) {
+    auto& seeker = earlier_fetchers_[version];
     if (seeker) continue;
     seeker = std::make_unique<ManifestSeeker>(
         model_, self_, context_.origin, context_.links,
-        [this](const WeightManifest& manifest, const char*) { note_earlier_manifest(manifest); });
+        [this](const WeightManifest& manifest, const char*) { on_earlier_manifest(manifest); });
     seeker->set_peers(agents_);
     seeker->begin(version, now);
   }
-  for (const auto& [version, seeker] : earlier_manifests_) seeker->on_tick(now);
+  for (const auto& [version, seeker] : earlier_fetchers_) seeker->on_tick(now);
 }
 
-void ModelStager::note_earlier_manifest(const WeightManifest& manifest) {
-  const auto sought = earlier_manifests_.find(manifest.version);
-  if (sought == earlier_manifests_.end()) return;
-  sought->second->stop();
-  note_manifest(manifest);
+void ModelStager::on_earlier_manifest(const WeightManifest& manifest) {
+  const auto entry = earlier_fetchers_.find(manifest.version);
+  if (entry == earlier_fetchers_.end()) return;
+  entry->second->stop();
+  record_manifest(manifest);
 }
 
-void ModelStager::note_manifest(const WeightManifest& manifest) {
+void ModelStager::record_manifest(const WeightManifest& manifest) {
   known_manifests_[manifest.version] = manifest;
-  inherited_.on_manifest(manifest);
+  recovery_.on_manifest(manifest);
 }
 
-void ModelStager::order_again(std::uint64_t version) {
-  claim_ = EngineClaim::order_again;
-  callbacks_.on_line("staging", "staging model=" + model_ +
-                                    " event=inherited version=" + std::to_string(version) +
-                                    " serving=" + std::to_string(serving_version()));
+void ModelStager::reissue_order(std::uint64_t version) {
+  recovery_state_ = RecoveryState::reissue_order;
+  callbacks_.log_line("staging", "staging model=" + model_ +
+                                     " event=inherited version=" + std::to_string(version) +
+                                     " serving=" + std::to_string(serving_version()));
   if (version == current_->version()) return;
-  inherited_download_ = make_download(version, loop_now());
-  inherited_download_->take_manifest(known_manifests_.at(version), "inherited");
-  inherited_download_->begin_transfer(inventory_.bytes());
+  recovery_download_ = make_download(version, loop_now());
+  recovery_download_->take_manifest(known_manifests_.at(version), "inherited");
+  recovery_download_->begin_transfer(inventory_.bytes());
 }
 
-void ModelStager::release_engine() {
-  claim_ = EngineClaim::released;
+void ModelStager::finish_recovery() {
+  recovery_state_ = RecoveryState::done;
   engine_stager_.allow_marking();
   // Nobody needs what the question took any more.
-  earlier_manifests_.clear();
+  earlier_fetchers_.clear();
   known_manifests_.clear();
   engine_stager_.set_source(engine_source());
-  inherited_download_.reset();
+  recovery_download_.reset();
 }
 
 const VersionDownload* ModelStager::engine_source() const {
-  if (claim_ == EngineClaim::undecided) return nullptr;
-  const bool earlier_first = claim_ == EngineClaim::order_again && inherited_download_;
-  const VersionDownload* source = earlier_first ? inherited_download_.get() : current_.get();
+  if (recovery_state_ == RecoveryState::undecided) return nullptr;
+  const bool earlier_first = recovery_state_ == RecoveryState::reissue_order && recovery_download_;
+  const VersionDownload* source = earlier_first ? recovery_download_.get() : current_.get();
   return source->transferring() ? source : nullptr;
 }
 
@@ -291,21 +295,23 @@
 
 void ModelStager::on_tick() {
   const TimePoint now = loop_now();
-  settle_inherited(now);
-  begin_next(now);
-  if (next_ && current_is_done_with(now)) change_over_to_next();
-  if (!waits_for_peers_) start_transfers(now);
-  const bool copies_needed = claim_ == EngineClaim::undecided || !current_->transferring();
+  recover_staging(now);
+  start_next_download(now);
+  if (next_ && can_replace_current(now)) promote_next();
+  if (!waiting_for_peers_) start_transfers(now);
+  const bool copies_needed =
+      recovery_state_ == RecoveryState::undecided || !current_->transferring();
   if (!copies_needed) inventory_.drop_bytes();
   engine_stager_.set_source(engine_source());
   for_each_download([&](VersionDownload& download) {
-    const auto rank = static_cast<std::uint32_t>(turn_rank(self_, agents_, download.version()));
+    const auto rank =
+        static_cast<std::uint32_t>(changeover_rank(self_, agents_, download.version()));
     // An engine that serves nothing goes first.
     download.set_urgency(load_.weight_version == 0 ? 0 : 1 + rank);
     // Beside a version that is nearly here the next one takes what is left of the links.
     const bool second = &download == next_.get() && !current_->complete();
     download.set_sharers(second ? 2 : 1);
-    if (!waits_for_peers_) download.on_tick(now);
+    if (!waiting_for_peers_) download.on_tick(now);
   });
   engine_stager_.on_tick(now);
 }
@@ -320,7 +326,7 @@
 void ModelStager::set_peers(const std::set<StagingPeer>& peers) {
   if (peers == peers_) return;
   peers_ = peers;
-  waits_for_peers_ = false;
+  waiting_for_peers_ = false;
   agents_.clear();
   for (const StagingPeer& peer : peers_) {
     const PeerId agent = staging_peer_id(peer.address);
@@ -339,7 +345,7 @@
 
 void ModelStager::on_manifest_request(PeerId peer, const wire::ManifestRequest& request) {
   if (request.model()->string_view() != model_) return;
-  on_named(request.least_version());
+  on_version_named(request.least_version());
   bool answered = false;
   for_each_download([&](VersionDownload& download) {
     const bool fits = request.least_version() == 0 || download.version() == request.least_version();
@@ -351,11 +357,11 @@
 
 void ModelStager::on_manifest_document(const wire::ManifestDocument& document) {
   if (document.model()->string_view() != model_) return;
-  if (current_->version() != 0) on_named(document.version());
+  if (current_->version() != 0) on_version_named(document.version());
   for_each_download([&](VersionDownload& download) {
     download.take_manifest(decode_manifest(document), "peer");
   });
-  note_earlier_manifest(decode_manifest(document));
+  on_earlier_manifest(decode_manifest(document));
 }
 
 void ModelStager::on_frame(PeerId peer, const wire::Frame& frame) {
--- a/src/host/staging/model_stager.h
+++ b/src/host/staging/model_stager.h
@@ -14,8 +14,8 @@
 
 #include "host/download/version_download.h"
 #include "host/staging/engine_stager.h"
-#include "host/staging/inherited_staging.h"
 #include "host/staging/staged_inventory.h"
+#include "host/staging/staging_recovery.h"
 
 namespace pumicemast {
 
@@ -25,9 +25,9 @@
     /// When the engine leaves service has become known, or it is about to: gateways should know.
     std::function<void()> on_leaving;
     /// Whether requests that gateways sent to the engine have not begun yet.
-    std::function<bool()> prompts_wait;
+    std::function<bool()> prompts_waiting;
     /// A decision worth a line.
-    std::function<void(const std::string& kind, const std::string& line)> on_line;
+    std::function<void(const std::string& kind, const std::string& line)> log_line;
   };
 
   ModelStager(std::string model, const HostSettings& settings, const StateChart& chart,
@@ -35,12 +35,12 @@
               Callbacks callbacks);
 
   /// `version` was named.
-  void on_named(std::uint64_t version);
+  void on_version_named(std::uint64_t version);
   void set_peers(const std::set<StagingPeer>& peers);
   /// Nothing is drawn until peers are known: alone, each agent would draw whole copies from the
   /// origin.
-  void wait_for_peers() { waits_for_peers_ = peers_.empty(); }
-  void stop_waiting_for_peers() { waits_for_peers_ = false; }
+  void wait_for_peers() { waiting_for_peers_ = peers_.empty(); }
+  void stop_waiting_for_peers() { waiting_for_peers_ = false; }
   void on_load(const LoadReport& report);
   void on_frame(PeerId peer, const wire::Frame& frame);
   void on_peer_lost(PeerId peer);
@@ -60,16 +60,16 @@
   /// When the engine leaves service to change weights, once that is planned.
   std::optional<TimePoint> leaves_at(TimePoint now);
   /// Something is under way that wants frequent ticks.
-  bool moving() const;
+  bool needs_frequent_ticks() const;
 
  private:
   using DownloadPointer = std::unique_ptr<VersionDownload>;
 
   DownloadPointer make_download(std::uint64_t version, TimePoint named_at);
   std::uint64_t newest() const;
-  void begin_next(TimePoint now);
-  void change_over_to_next();
-  bool current_is_done_with(TimePoint now) const;
+  void start_next_download(TimePoint now);
+  void promote_next();
+  bool can_replace_current(TimePoint now) const;
   /// Whether a version that is not complete goes before the one named after it.
   bool worth_finishing(TimePoint now) const;
   /// That the current version needs on one link.
@@ -78,22 +78,22 @@
   VersionDownload::KnownBytes all_known_bytes() const;
   /// Finds out whether an earlier process may have ordered what lies at the engine, and has it
   /// ordered again before anything is written.
-  void settle_inherited(TimePoint now);
+  void recover_staging(TimePoint now);
   /// Goes on with a version that an earlier process was writing.
-  void take_over_marked();
-  void seek_earlier_manifests(TimePoint now);
-  void note_earlier_manifest(const WeightManifest& manifest);
-  void note_manifest(const WeightManifest& manifest);
+  void adopt_marked_version();
+  void fetch_earlier_manifests(TimePoint now);
+  void on_earlier_manifest(const WeightManifest& manifest);
+  void record_manifest(const WeightManifest& manifest);
   /// The version that the engine serves and is not about to leave; 0 for none.
   std::uint64_t serving_version() const;
   /// `version`, which lies at the engine whole, is ordered first.
-  void order_again(std::uint64_t version);
+  void reissue_order(std::uint64_t version);
   /// What lies at the engine may be written over.
-  void release_engine();
+  void finish_recovery();
   /// The version that is brought to the engine now; null while nothing may be written.
   const VersionDownload* engine_source() const;
   /// When the engine may leave service, if all of the version is ready at `ready_at`.
-  TimePoint plan_turn(TimePoint ready_at, TimePoint now);
+  TimePoint schedule_start(TimePoint ready_at, TimePoint now);
   void on_manifest_request(PeerId peer, const wire::ManifestRequest& request);
   void on_manifest_document(const wire::ManifestDocument& document);
   template <class Visit>
@@ -107,36 +107,36 @@
   UplinkPacer uplink_;
   DownloadContext context_;
   EngineStager engine_stager_;
-  TimePoint began_{};
+  TimePoint started_at_{};
   std::set<StagingPeer> peers_;
-  bool waits_for_peers_ = false;
+  bool waiting_for_peers_ = false;
   std::vector<PeerId> agents_;  ///< Ids of `peers_`.
   /// What lay at the engine when this process began, and what may be pending there since before.
   StagedInventory inventory_;
-  InheritedStaging inherited_;
-  std::map<std::uint64_t, std::unique_ptr<ManifestSeeker>> earlier_manifests_;  ///< Sought.
+  StagingRecovery recovery_;
+  std::map<std::uint64_t, std::unique_ptr<ManifestSeeker>> earlier_fetchers_;  ///< Sought.
   /// By version; of all that may lie at the engine, until that is settled.
   std::map<std::uint64_t, WeightManifest> known_manifests_;
-  enum class EngineClaim {
-    undecided,    ///< Nothing may be written.
-    order_again,  ///< A version that lies there whole is to be taken first.
-    released      ///< Nothing is pending but this process's own orders.
+  enum class RecoveryState {
+    undecided,      ///< Nothing may be written.
+    reissue_order,  ///< A version that lies there whole is to be taken first.
+    done            ///< Nothing is pending but this process's own orders.
   };
-  EngineClaim claim_ = EngineClaim::undecided;
+  RecoveryState recovery_state_ = RecoveryState::undecided;
   /// The version to be taken first, where it is not the current one.
-  DownloadPointer inherited_download_;
+  DownloadPointer recovery_download_;
   DownloadPointer previous_;  ///< Others may still want it.
   DownloadPointer current_;   ///< Brought to the engine; never null.
   DownloadPointer next_;      ///< Begun when the current one is complete.
   /// Named after the current one, and not begun yet; 0 for none.
-  std::uint64_t waiting_version_ = 0;
-  TimePoint waiting_since_{};
+  std::uint64_t pending_version_ = 0;
+  TimePoint pending_since_{};
   LoadReport load_;
   /// When versions newer than what the engine serves were named.
   std::map<std::uint64_t, TimePoint> named_at_;
   /// The version of which gateways have been told when the engine leaves for it, and since when.
-  std::uint64_t foreseen_version_ = 0;
-  TimePoint foreseen_at_{};
+  std::uint64_t notified_version_ = 0;
+  TimePoint notified_at_{};
 };
 
 }  // namespace pumicemast
--- a/src/host/staging/staged_inventory.h
+++ b/src/host/staging/staged_inventory.h
@@ -1,7 +1,7 @@
 /// Reads what lies in the engine's staging place when an agent begins.
 ///
 /// What is found need not be fetched again, and tells what an earlier process of this agent may
-/// have ordered (host/inherited_staging.h).
+/// have ordered (host/staging/staging_recovery.h).
 #pragma once
 
 #include <map>
@@ -33,11 +33,11 @@
   const std::map<Sha256, Bytes>& bytes() const { return bytes_; }
   void drop_bytes() { bytes_.clear(); }
   /// The version that was being written there, when a marker says so.
-  const std::optional<WeightManifest>& marked() const { return marked_; }
+  const std::optional<WeightManifest>& marker_manifest() const { return marker_manifest_; }
 
  private:
-  void read_next(std::vector<ChunkIndex> places, std::size_t position);
-  void note(ChunkIndex place, std::string bytes);
+  void read_next(std::vector<ChunkIndex> chunks, std::size_t position);
+  void record(ChunkIndex chunk, std::string bytes);
 
   std::string model_;
   EngineControl& engine_;
@@ -45,7 +45,7 @@
   bool complete_ = false;
   std::vector<std::optional<Sha256>> hashes_;
   std::map<Sha256, Bytes> bytes_;
-  std::optional<WeightManifest> marked_;
+  std::optional<WeightManifest> marker_manifest_;
 };
 
 }  // namespace pumicemast
--- a/src/host/staging/staging_marker.cpp
+++ b/src/host/staging/staging_marker.cpp
@@ -28,9 +28,9 @@
 }
 
 std::optional<WeightManifest> decode_staging_marker(std::string_view bytes) {
-  const std::size_t head = kMagic.size() + sizeof(Sha256);
-  if (!bytes.starts_with(kMagic) || bytes.size() < head) return std::nullopt;
-  const std::string_view payload = bytes.substr(head);
+  const std::size_t prefix_size = kMagic.size() + sizeof(Sha256);
+  if (!bytes.starts_with(kMagic) || bytes.size() < prefix_size) return std::nullopt;
+  const std::string_view payload = bytes.substr(prefix_size);
   if (digest_bytes(sha256(payload)) != bytes.substr(kMagic.size(), sizeof(Sha256))) {
     return std::nullopt;
   }
--- a/src/host/staging/staging_marker.h
+++ b/src/host/staging/staging_marker.h
@@ -16,7 +16,7 @@
 namespace pumicemast {
 
 /// The place that a marker takes.
-constexpr ChunkIndex kMarkerPlace = 0;
+constexpr ChunkIndex kMarkerChunk = 0;
 
 /// @param manifest  of the version that is being written.
 std::string encode_staging_marker(const WeightManifest& manifest);
--- a/src/host/staging/start_orders.h
+++ b/src/host/staging/start_orders.h
@@ -18,7 +18,7 @@
  public:
   /// An order was given that states `sequence`; its outcome follows.
   void on_sent(std::uint64_t sequence) {
-    stated_ = sequence;
+    expected_sequence_ = sequence;
     under_way_ = true;
     ++attempts_;
   }
@@ -27,7 +27,7 @@
     last_outcome_ = outcome;
     switch (outcome) {
       case StartOutcome::unknown:
-        unanswered_.insert(stated_);
+        unanswered_.insert(expected_sequence_);
         break;
       case StartOutcome::begun:            // The engine's count has risen.
       case StartOutcome::already_serving:  // Earlier ones would find nothing to do.
@@ -41,10 +41,10 @@
   /// @param started_at_ms  when that was, by its own clock; 0 when it does not say.
   /// @return whether this settled an order without an answer.
   bool on_report(std::uint64_t sequence, std::int64_t started_at_ms = 0) {
-    const bool another_start = started_at_ms_ != 0 && started_at_ms != started_at_ms_;
+    const bool engine_restarted = started_at_ms_ != 0 && started_at_ms != started_at_ms_;
     started_at_ms_ = started_at_ms;
     if (unanswered_.empty()) return false;
-    if (another_start) {
+    if (engine_restarted) {
       // Its count may be the same again, but what was on its way ended with its connections.
       unanswered_.clear();
       carried_out_ = false;
@@ -53,8 +53,9 @@
     // A higher count: one was carried out. A lower one: the engine was started anew, and its
     // connections ended with it. An order that states what the engine counts may still come.
     const bool begun = sequence > 0 && unanswered_.contains(sequence - 1);
-    const bool settled =
-        std::erase_if(unanswered_, [&](std::uint64_t stated) { return stated != sequence; }) > 0;
+    const bool settled = std::erase_if(unanswered_, [&](std::uint64_t expected) {
+                           return expected != sequence;
+                         }) > 0;
     if (settled) carried_out_ = begun;
     return settled;
   }
@@ -74,11 +75,11 @@
 
   /// An order may still be carried out.
   bool pending() const { return under_way_ || !unanswered_.empty(); }
-  bool under_way() const { return under_way_; }
+  bool in_flight() const { return under_way_; }
   bool unanswered() const { return !under_way_ && !unanswered_.empty(); }
   /// The last order was declined because the engine's count was another than it stated.
-  bool overtaken(std::uint64_t sequence) const {
-    return !under_way_ && last_outcome_ == StartOutcome::refused && sequence != stated_;
+  bool stale(std::uint64_t sequence) const {
+    return !under_way_ && last_outcome_ == StartOutcome::refused && sequence != expected_sequence_;
   }
   /// The engine has taken what lay there.
   bool carried_out() const { return carried_out_; }
@@ -91,7 +92,7 @@
     carried_out_ = true;
   }
 
-  std::uint64_t stated_ = 0;
+  std::uint64_t expected_sequence_ = 0;
   std::int64_t started_at_ms_ = 0;
   bool under_way_ = false;
   /// The counts that orders without an answer stated.
--- a/src/host/staging/settling.h
+++ b/src/host/staging/start_readiness.h
@@ -8,20 +8,20 @@
 
 namespace pumicemast {
 
-struct SettlingOptions {
+struct StartReadinessOptions {
   /// From the word to gateways until nothing more comes from them.
-  Duration word_time = milliseconds(60);
+  Duration notification_delay = milliseconds(60);
   /// What has reached the engine begins before the order, unless that takes so long.
-  Duration longest = milliseconds(800);
+  Duration max_wait = milliseconds(800);
 };
 
 /// @param since           how long ago gateways were told to send nothing more.
-/// @param prompts_wait    requests are there that have not begun, as gateways tell.
-/// @param serves_nothing  the engine holds no weights: nothing was sent there.
-inline bool has_settled(Duration since, bool prompts_wait, bool serves_nothing,
-                        const SettlingOptions& options = {}) {
-  if (serves_nothing || since >= options.longest) return true;
-  return since >= options.word_time && !prompts_wait;
+/// @param prompts_waiting    requests are there that have not begun, as gateways tell.
+/// @param holds_no_weights  the engine holds no weights: nothing was sent there.
+inline bool ready_to_start(Duration since_notification, bool prompts_waiting, bool holds_no_weights,
+                           const StartReadinessOptions& options = {}) {
+  if (holds_no_weights || since_notification >= options.max_wait) return true;
+  return since_notification >= options.notification_delay && !prompts_waiting;
 }
 
 }  // namespace pumicemast
--- a/tests/host/credits/credit_dealer_test.cpp
+++ b/tests/host/credits/credit_dealer_test.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "host/staging/settling.h"
+#include "host/staging/start_readiness.h"
 
 namespace pumicemast {
 
@@ -135,18 +135,18 @@
   }
 
   void an_order_waits_for_the_word_and_for_what_has_not_begun() {
-    CPPUNIT_ASSERT(!has_settled(milliseconds(59), false, false));
-    CPPUNIT_ASSERT(has_settled(milliseconds(60), false, false));
-    CPPUNIT_ASSERT(!has_settled(milliseconds(400), true, false));
+    CPPUNIT_ASSERT(!ready_to_start(milliseconds(59), false, false));
+    CPPUNIT_ASSERT(ready_to_start(milliseconds(60), false, false));
+    CPPUNIT_ASSERT(!ready_to_start(milliseconds(400), true, false));
   }
 
   void an_order_does_not_wait_for_ever() {
-    CPPUNIT_ASSERT(!has_settled(milliseconds(799), true, false));
-    CPPUNIT_ASSERT(has_settled(milliseconds(800), true, false));
+    CPPUNIT_ASSERT(!ready_to_start(milliseconds(799), true, false));
+    CPPUNIT_ASSERT(ready_to_start(milliseconds(800), true, false));
   }
 
   void an_engine_without_weights_has_nothing_to_wait_for() {
-    CPPUNIT_ASSERT(has_settled(Duration::zero(), true, true));
+    CPPUNIT_ASSERT(ready_to_start(Duration::zero(), true, true));
   }
 };
 
--- a/tests/host/host_cores_test.cpp
+++ b/tests/host/host_cores_test.cpp
@@ -3,7 +3,7 @@
 #include <set>
 
 #include "host/download/link_gauge.h"
-#include "host/staging/start_turns.h"
+#include "host/staging/start_schedule.h"
 
 namespace pumicemast {
 
@@ -26,41 +26,42 @@
     for (PeerId id = 1; id <= 20; ++id) agents.push_back(id * 7919);
     const TimePoint named(seconds(100));
     const TimePoint now = named + seconds(2);  // Before anyone's turn.
-    StartTurnOptions options;
+    StartScheduleOptions options;
     options.notice = Duration::zero();
-    std::set<TimePoint> turns;
+    std::set<TimePoint> starts;
     for (const PeerId agent : agents) {
-      const TimePoint turn = start_turn(agent, agents, 2, named, now, options);
-      CPPUNIT_ASSERT(turn >= now);
+      const TimePoint start = scheduled_start(agent, agents, 2, named, now, options);
+      CPPUNIT_ASSERT(start >= now);
       // Gateways send nothing to older weights from 7 s on.
-      CPPUNIT_ASSERT(turn < named + milliseconds(6900));
-      turns.insert(turn);
+      CPPUNIT_ASSERT(start < named + milliseconds(6900));
+      starts.insert(start);
     }
-    CPPUNIT_ASSERT_EQUAL(agents.size(), turns.size());
+    CPPUNIT_ASSERT_EQUAL(agents.size(), starts.size());
     // Whose turn has passed starts as soon as it can; the others keep theirs.
     const TimePoint later = named + seconds(4);
     for (const PeerId agent : agents) {
-      const TimePoint turn = start_turn(agent, agents, 2, named, now, options);
-      CPPUNIT_ASSERT(start_turn(agent, agents, 2, named, later, options) == std::max(turn, later));
+      const TimePoint start = scheduled_start(agent, agents, 2, named, now, options);
+      CPPUNIT_ASSERT(scheduled_start(agent, agents, 2, named, later, options) ==
+                     std::max(start, later));
     }
   }
 
   void a_late_engine_starts_at_once() {
     const TimePoint named(seconds(100));
     const TimePoint now = named + seconds(7);
-    CPPUNIT_ASSERT(start_turn(5, {1, 2, 5}, 2, named, now, {}) == now);
+    CPPUNIT_ASSERT(scheduled_start(5, {1, 2, 5}, 2, named, now, {}) == now);
   }
 
   void gateways_get_notice_while_there_is_time() {
     const TimePoint named(seconds(100));
-    StartTurnOptions options;
+    StartScheduleOptions options;
     options.notice = milliseconds(600);
     // The only agent's turn has passed.
     const TimePoint early = named + seconds(5);
-    CPPUNIT_ASSERT(start_turn(5, {5}, 2, named, early, options) == early + milliseconds(600));
+    CPPUNIT_ASSERT(scheduled_start(5, {5}, 2, named, early, options) == early + milliseconds(600));
     const TimePoint late = named + milliseconds(6700);
-    const TimePoint turn = start_turn(5, {5}, 2, named, late, options);
-    CPPUNIT_ASSERT(turn >= late && turn <= named + milliseconds(6880));
+    const TimePoint start = scheduled_start(5, {5}, 2, named, late, options);
+    CPPUNIT_ASSERT(start >= late && start <= named + milliseconds(6880));
   }
 
   void an_engine_of_forbidden_weights_does_not_wait_for_its_turn() {
@@ -68,11 +69,11 @@
     for (PeerId id = 1; id <= 20; ++id) agents.push_back(id * 7919);
     const TimePoint named(seconds(103));
     const TimePoint now = named + milliseconds(4500);
-    StartTurnOptions options;
+    StartScheduleOptions options;
     // The engine serves version 1; version 2 was named 3 s before 3 and was dropped.
-    options.older_named_at = named - seconds(3);
+    options.first_newer_named_at = named - seconds(3);
     for (const PeerId agent : agents) {
-      CPPUNIT_ASSERT(start_turn(agent, agents, 3, named, now, options) == now);
+      CPPUNIT_ASSERT(scheduled_start(agent, agents, 3, named, now, options) == now);
     }
   }
 
--- a/tests/host/staging/late_start_order_test.cpp
+++ b/tests/host/staging/late_start_order_test.cpp
@@ -17,40 +17,40 @@
 /// answer preceded no such token.
 class LateStartOrderTest : public tests::StagingTest {
   CPPUNIT_TEST_SUITE(LateStartOrderTest);
-  CPPUNIT_TEST(an_order_carried_out_late_finds_what_it_names);
-  CPPUNIT_TEST(what_an_unanswered_order_may_take_stays);
-  CPPUNIT_TEST(an_engine_with_an_unanswered_order_is_leaving);
-  CPPUNIT_TEST(a_machine_that_stood_still_reads_back_again_before_it_orders);
+  CPPUNIT_TEST(a_late_order_activates_the_version_it_names);
+  CPPUNIT_TEST(chunks_of_an_unanswered_order_are_not_overwritten);
+  CPPUNIT_TEST(an_engine_with_an_unanswered_order_is_reported_as_leaving);
+  CPPUNIT_TEST(a_paused_machine_verifies_again_before_it_orders);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void an_order_carried_out_late_finds_what_it_names() {
+  void a_late_order_activates_the_version_it_names() {
     engine_->leave_unanswered(1);
     CPPUNIT_ASSERT(run_until([&] { return engine_->late_orders() == 1; }));
     name_second();
     run_for(milliseconds(600));
-    engine_->carry_out_late_order();
-    assert_only_whole_versions_were_taken();
+    engine_->execute_late_order();
+    assert_only_complete_versions_activated();
     CPPUNIT_ASSERT(run_until([&] { return engine_->serving() == kSecond; }));
-    assert_only_whole_versions_were_taken();
+    assert_only_complete_versions_activated();
   }
 
-  void what_an_unanswered_order_may_take_stays() {
+  void chunks_of_an_unanswered_order_are_not_overwritten() {
     engine_->leave_unanswered(1000);
     CPPUNIT_ASSERT(run_until([&] { return engine_->late_orders() > 0; }));
     name_second();
     run_for(milliseconds(1000));
     CPPUNIT_ASSERT(engine_->holds(kFirst, kChunks));
-    engine_->carry_out_late_order();
-    assert_only_whole_versions_were_taken();
+    engine_->execute_late_order();
+    assert_only_complete_versions_activated();
     engine_->leave_unanswered(0);
     CPPUNIT_ASSERT(run_until([&] { return engine_->serving() == kSecond; }));
-    assert_only_whole_versions_were_taken();
+    assert_only_complete_versions_activated();
   }
 
   /// Gateways that take such an engine for free send it requests, which may begin on old weights
   /// late: one did 8.1 s after newer ones were named, on an engine with an unanswered order.
-  void an_engine_with_an_unanswered_order_is_leaving() {
+  void an_engine_with_an_unanswered_order_is_reported_as_leaving() {
     engine_->leave_unanswered(1000);
     CPPUNIT_ASSERT(run_until([&] { return engine_->late_orders() > 0; }));
     name_second();
@@ -62,17 +62,17 @@
 
   /// Between the reading back and the order an agent waits for requests to begin. When its machine
   /// stood still meanwhile, what it had read back was too old to tell that a chunk had turned bad.
-  void a_machine_that_stood_still_reads_back_again_before_it_orders() {
+  void a_paused_machine_verifies_again_before_it_orders() {
     settings_.changeover = seconds(1);
     CPPUNIT_ASSERT(run_until([&] { return stager_->serving(); }));
-    prompts_wait_ = true;
+    prompts_waiting_ = true;
     name_second();
     CPPUNIT_ASSERT(run_until([&] { return stager_->starting(); }));
     CPPUNIT_ASSERT_EQUAL(kFirst, engine_->serving());
-    engine_->spoil(3);
+    engine_->corrupt(3);
     g_usleep(2600000);
     CPPUNIT_ASSERT(run_until([&] { return engine_->serving() == kSecond; }));
-    assert_only_whole_versions_were_taken();
+    assert_only_complete_versions_activated();
   }
 };
 
--- a/tests/host/staging/restarted_agent_test.cpp
+++ b/tests/host/staging/restarted_agent_test.cpp
@@ -14,20 +14,20 @@
 /// chunk was there.
 class RestartedAgentTest : public tests::StagingTest {
   CPPUNIT_TEST_SUITE(RestartedAgentTest);
-  CPPUNIT_TEST(a_version_half_brought_goes_on_though_an_older_manifest_is_gone);
-  CPPUNIT_TEST(a_version_half_brought_goes_on_without_any_manifest);
-  CPPUNIT_TEST(a_version_named_after_the_one_half_brought_goes_on_too);
-  CPPUNIT_TEST(what_a_predecessor_ordered_is_left_alone_before_and_after);
+  CPPUNIT_TEST(a_half_staged_version_resumes_without_older_manifests);
+  CPPUNIT_TEST(a_half_staged_version_resumes_without_any_manifest);
+  CPPUNIT_TEST(a_version_named_after_a_half_staged_one_is_staged);
+  CPPUNIT_TEST(chunks_of_an_earlier_order_are_not_overwritten);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr std::uint64_t kThird = 10;
   /// Besides the time for missing chunks, which are here at once.
-  static constexpr Duration kPrompt = seconds(2);
+  static constexpr Duration kRestartLimit = seconds(2);
 
-  void bring_half(std::uint64_t version) {
+  void stage_half(std::uint64_t version) {
     origin_->set_newest(version);
     origin_->withhold_chunks_from(kChunks / 2);
-    stager_->on_named(version);
+    stager_->on_version_named(version);
     CPPUNIT_ASSERT(run_until([&] {
       return engine_->holds_chunk(version, 1) && engine_->holds_chunk(version, kChunks / 2 - 1);
     }));
@@ -37,14 +37,14 @@
     kill_agent();
     origin_->withhold_chunks_from(kChunks);
     start_agent();
-    stager_->on_named(named);
+    stager_->on_version_named(named);
   }
 
-  void assert_soon_served(std::uint64_t version) {
+  void assert_served_promptly(std::uint64_t version) {
     const TimePoint begun = loop_now();
     CPPUNIT_ASSERT(run_until([&] { return engine_->serving() == version; }));
-    CPPUNIT_ASSERT(loop_now() - begun < kPrompt);
-    assert_only_whole_versions_were_taken();
+    CPPUNIT_ASSERT(loop_now() - begun < kRestartLimit);
+    assert_only_complete_versions_activated();
   }
 
  public:
@@ -54,30 +54,30 @@
     CPPUNIT_ASSERT(run_until([&] { return stager_->serving(); }));
   }
 
-  void a_version_half_brought_goes_on_though_an_older_manifest_is_gone() {
-    bring_half(kThird);
+  void a_half_staged_version_resumes_without_older_manifests() {
+    stage_half(kThird);
     origin_->forget_manifests_before(kSecond);
     restart_agent(kThird);
-    assert_soon_served(kThird);
+    assert_served_promptly(kThird);
   }
 
-  void a_version_half_brought_goes_on_without_any_manifest() {
-    bring_half(kThird);
+  void a_half_staged_version_resumes_without_any_manifest() {
+    stage_half(kThird);
     origin_->forget_manifests_before(kThird + 1);
     restart_agent(kThird);
-    assert_soon_served(kThird);
+    assert_served_promptly(kThird);
   }
 
-  void a_version_named_after_the_one_half_brought_goes_on_too() {
-    bring_half(kSecond);
+  void a_version_named_after_a_half_staged_one_is_staged() {
+    stage_half(kSecond);
     origin_->set_newest(kThird);
     origin_->forget_manifests_before(kThird);
     restart_agent(kThird);
-    assert_soon_served(kThird);
+    assert_served_promptly(kThird);
   }
 
   /// An order without an answer may be carried out at any moment; it must find whole weights.
-  void what_a_predecessor_ordered_is_left_alone_before_and_after() {
+  void chunks_of_an_earlier_order_are_not_overwritten() {
     engine_->leave_unanswered(1);
     name_second();
     CPPUNIT_ASSERT(run_until([&] { return engine_->late_orders() == 1; }));
@@ -85,9 +85,9 @@
     restart_agent(kThird);
     const TimePoint end = loop_now() + milliseconds(500);
     while (engine_->holds(kSecond, kChunks) && loop_now() < end) step();
-    engine_->carry_out_late_order();
+    engine_->execute_late_order();
     CPPUNIT_ASSERT(run_until([&] { return engine_->serving() == kThird; }));
-    assert_only_whole_versions_were_taken();
+    assert_only_complete_versions_activated();
   }
 };
 
--- a/tests/host/staging/staging_marker_test.cpp
+++ b/tests/host/staging/staging_marker_test.cpp
@@ -6,9 +6,9 @@
 
 class StagingMarkerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StagingMarkerTest);
-  CPPUNIT_TEST(a_marker_tells_the_manifest);
-  CPPUNIT_TEST(a_marker_that_turned_bad_is_none);
-  CPPUNIT_TEST(a_chunk_is_no_marker);
+  CPPUNIT_TEST(a_marker_contains_the_manifest);
+  CPPUNIT_TEST(a_corrupt_marker_is_rejected);
+  CPPUNIT_TEST(a_chunk_is_not_a_marker);
   CPPUNIT_TEST_SUITE_END();
 
   static WeightManifest manifest() {
@@ -16,7 +16,7 @@
   }
 
  public:
-  void a_marker_tells_the_manifest() {
+  void a_marker_contains_the_manifest() {
     const auto read = decode_staging_marker(encode_staging_marker(manifest()));
     CPPUNIT_ASSERT(read.has_value());
     CPPUNIT_ASSERT_EQUAL(manifest().model, read->model);
@@ -25,7 +25,7 @@
     CPPUNIT_ASSERT(manifest().hashes == read->hashes);
   }
 
-  void a_marker_that_turned_bad_is_none() {
+  void a_corrupt_marker_is_rejected() {
     const std::string marker = encode_staging_marker(manifest());
     for (std::size_t at = 0; at < marker.size(); ++at) {
       std::string spoilt = marker;
@@ -35,7 +35,7 @@
     }
   }
 
-  void a_chunk_is_no_marker() {
+  void a_chunk_is_not_a_marker() {
     CPPUNIT_ASSERT(!decode_staging_marker(""));
     CPPUNIT_ASSERT(!decode_staging_marker(std::string(24576, 'w')));
   }
--- a/tests/host/staging/start_orders_test.cpp
+++ b/tests/host/staging/start_orders_test.cpp
@@ -8,13 +8,13 @@
 class StartOrdersTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StartOrdersTest);
   CPPUNIT_TEST(an_answered_order_is_settled);
-  CPPUNIT_TEST(an_order_without_an_answer_stays_pending);
-  CPPUNIT_TEST(an_order_that_is_answered_later_settles_earlier_ones);
-  CPPUNIT_TEST(a_declined_order_settles_no_earlier_one);
-  CPPUNIT_TEST(the_count_of_the_engine_settles_an_order);
-  CPPUNIT_TEST(an_engine_started_anew_has_taken_nothing);
-  CPPUNIT_TEST(an_engine_started_anew_is_known_by_its_start);
-  CPPUNIT_TEST(an_order_with_an_old_count_is_known_as_overtaken);
+  CPPUNIT_TEST(an_unanswered_order_stays_pending);
+  CPPUNIT_TEST(an_answered_order_settles_earlier_ones);
+  CPPUNIT_TEST(a_refused_order_settles_no_earlier_one);
+  CPPUNIT_TEST(the_reported_sequence_settles_an_order);
+  CPPUNIT_TEST(a_restarted_engine_has_activated_nothing);
+  CPPUNIT_TEST(a_restarted_engine_is_recognized_by_its_start_time);
+  CPPUNIT_TEST(a_refused_order_with_an_old_sequence_is_stale);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -29,7 +29,7 @@
     }
   }
 
-  void an_order_without_an_answer_stays_pending() {
+  void an_unanswered_order_stays_pending() {
     StartOrders orders = with_unanswered(4);
     CPPUNIT_ASSERT(orders.pending());
     CPPUNIT_ASSERT(orders.unanswered());
@@ -38,7 +38,7 @@
     CPPUNIT_ASSERT(orders.pending());
   }
 
-  void an_order_that_is_answered_later_settles_earlier_ones() {
+  void an_answered_order_settles_earlier_ones() {
     StartOrders orders = with_unanswered(4);
     orders.on_sent(4);
     CPPUNIT_ASSERT(!orders.unanswered());  // One is on its way.
@@ -48,14 +48,14 @@
     CPPUNIT_ASSERT_EQUAL(2U, orders.attempts());
   }
 
-  void a_declined_order_settles_no_earlier_one() {
+  void a_refused_order_settles_no_earlier_one() {
     StartOrders orders = with_unanswered(4);
     orders.on_sent(4);
     orders.on_outcome(StartOutcome::refused);
     CPPUNIT_ASSERT(orders.pending());
   }
 
-  void the_count_of_the_engine_settles_an_order() {
+  void the_reported_sequence_settles_an_order() {
     StartOrders orders = with_unanswered(4);
     CPPUNIT_ASSERT(orders.on_report(5));
     CPPUNIT_ASSERT(!orders.pending());
@@ -63,7 +63,7 @@
     CPPUNIT_ASSERT(!orders.on_report(5));
   }
 
-  void an_engine_started_anew_has_taken_nothing() {
+  void a_restarted_engine_has_activated_nothing() {
     StartOrders orders = with_unanswered(4);
     CPPUNIT_ASSERT(orders.on_report(0));
     CPPUNIT_ASSERT(!orders.pending());
@@ -71,7 +71,7 @@
   }
 
   /// It was started anew between two reports, and another order brought it to the same count.
-  void an_engine_started_anew_is_known_by_its_start() {
+  void a_restarted_engine_is_recognized_by_its_start_time() {
     StartOrders orders;
     orders.on_report(1, 1000);
     orders.on_sent(1);
@@ -84,13 +84,13 @@
     CPPUNIT_ASSERT(!orders.carried_out());
   }
 
-  void an_order_with_an_old_count_is_known_as_overtaken() {
+  void a_refused_order_with_an_old_sequence_is_stale() {
     StartOrders orders;
     orders.on_sent(4);
-    CPPUNIT_ASSERT(!orders.overtaken(5));
+    CPPUNIT_ASSERT(!orders.stale(5));
     orders.on_outcome(StartOutcome::refused);
-    CPPUNIT_ASSERT(orders.overtaken(5));
-    CPPUNIT_ASSERT(!orders.overtaken(4));  // It does not fit the engine's state.
+    CPPUNIT_ASSERT(orders.stale(5));
+    CPPUNIT_ASSERT(!orders.stale(4));  // It does not fit the engine's state.
   }
 
  private:
--- a/tests/host/staging/unanswered_order_test.cpp
+++ b/tests/host/staging/unanswered_order_test.cpp
@@ -13,14 +13,14 @@
 /// report fails to come is noted with a count of 0, which an order then states.
 class UnansweredOrderTest : public tests::StagingTest {
   CPPUNIT_TEST_SUITE(UnansweredOrderTest);
-  CPPUNIT_TEST(an_order_that_had_nothing_to_do_is_settled_when_the_engine_serves);
-  CPPUNIT_TEST(an_order_stating_another_count_settles_no_earlier_one);
+  CPPUNIT_TEST(an_order_without_effect_is_settled_when_the_engine_serves);
+  CPPUNIT_TEST(an_order_with_another_sequence_settles_no_earlier_one);
   CPPUNIT_TEST(an_engine_that_does_not_report_gets_no_order);
-  CPPUNIT_TEST(an_order_without_an_answer_is_given_again_soon);
-  CPPUNIT_TEST(the_engine_stays_out_of_service_also_while_chunks_are_read_again);
-  CPPUNIT_TEST(an_agent_started_anew_leaves_what_its_predecessor_ordered);
-  CPPUNIT_TEST(a_version_named_before_the_engine_was_read_changes_nothing);
-  CPPUNIT_TEST(an_engine_that_declines_what_lies_there_gets_new_weights_all_the_same);
+  CPPUNIT_TEST(an_unanswered_order_is_retried_promptly);
+  CPPUNIT_TEST(the_engine_stays_out_of_service_during_reverification);
+  CPPUNIT_TEST(a_restarted_agent_keeps_chunks_of_an_earlier_order);
+  CPPUNIT_TEST(a_version_named_before_the_inventory_is_read_overwrites_nothing);
+  CPPUNIT_TEST(an_engine_that_declines_the_staged_version_gets_the_next_one);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -30,8 +30,8 @@
   }
 
   /// The agent was started anew while its engine took version 8; its own order got no answer.
-  void an_order_that_had_nothing_to_do_is_settled_when_the_engine_serves() {
-    engine_->change_over_since_before(kFirst, kChunks);
+  void an_order_without_effect_is_settled_when_the_engine_serves() {
+    engine_->begin_earlier_changeover(kFirst, kChunks);
     engine_->leave_unanswered(1000);
     CPPUNIT_ASSERT(run_until([&] { return engine_->late_orders() > 0; }));
     engine_->end_changeover();
@@ -41,7 +41,7 @@
     CPPUNIT_ASSERT(run_until([&] { return engine_->serving() == kSecond; }));
   }
 
-  void an_order_stating_another_count_settles_no_earlier_one() {
+  void an_order_with_another_sequence_settles_no_earlier_one() {
     StartOrders orders;
     orders.on_sent(4);
     orders.on_outcome(StartOutcome::unknown);
@@ -59,7 +59,7 @@
   /// to begin: an engine that says nothing looks like one that serves nothing.
   void an_engine_that_does_not_report_gets_no_order() {
     CPPUNIT_ASSERT(run_until([&] { return stager_->serving(); }));
-    prompts_wait_ = true;
+    prompts_waiting_ = true;
     name_second();
     CPPUNIT_ASSERT(run_until([&] { return stager_->starting(); }));
     const std::size_t before = engine_->orders();
@@ -71,7 +71,7 @@
   }
 
   /// Each millisecond until then the engine serves nobody.
-  void an_order_without_an_answer_is_given_again_soon() {
+  void an_unanswered_order_is_retried_promptly() {
     engine_->leave_unanswered(1);
     CPPUNIT_ASSERT(run_until([&] { return engine_->late_orders() == 1; }));
     run_for(milliseconds(500));
@@ -80,7 +80,7 @@
 
   /// An agent was killed while its order had no answer. The next process knew of none, and wrote
   /// the version named meanwhile over what the engine then took; callers got tokens of both.
-  void an_agent_started_anew_leaves_what_its_predecessor_ordered() {
+  void a_restarted_agent_keeps_chunks_of_an_earlier_order() {
     engine_->leave_unanswered(1);
     CPPUNIT_ASSERT(run_until([&] { return engine_->late_orders() == 1; }));
     kill_agent();
@@ -88,13 +88,13 @@
     start_agent();
     const TimePoint end = loop_now() + seconds(1);
     while (engine_->holds(kFirst, kChunks) && loop_now() < end) step();
-    engine_->carry_out_late_order();
-    assert_only_whole_versions_were_taken();
+    engine_->execute_late_order();
+    assert_only_complete_versions_activated();
   }
 
   /// The engine said nothing at first. Meanwhile the version that lies there was the one to bring
   /// to it, and then no longer.
-  void a_version_named_before_the_engine_was_read_changes_nothing() {
+  void a_version_named_before_the_inventory_is_read_overwrites_nothing() {
     engine_->leave_unanswered(1);
     CPPUNIT_ASSERT(run_until([&] { return engine_->late_orders() == 1; }));
     kill_agent();
@@ -105,13 +105,13 @@
     run_for(milliseconds(300));
     engine_->set_reporting(true);
     run_for(milliseconds(500));
-    engine_->carry_out_late_order();
+    engine_->execute_late_order();
     CPPUNIT_ASSERT(run_until([&] { return engine_->serving() == kSecond; }));
-    assert_only_whole_versions_were_taken();
+    assert_only_complete_versions_activated();
   }
 
   /// It would otherwise be kept from all weights for good.
-  void an_engine_that_declines_what_lies_there_gets_new_weights_all_the_same() {
+  void an_engine_that_declines_the_staged_version_gets_the_next_one() {
     engine_->leave_unanswered(1);
     CPPUNIT_ASSERT(run_until([&] { return engine_->late_orders() == 1; }));
     kill_agent();
@@ -119,11 +119,11 @@
     origin_->set_newest(kSecond);
     start_agent();
     CPPUNIT_ASSERT(run_until([&] { return engine_->serving() == kSecond; }));
-    assert_only_whole_versions_were_taken();
+    assert_only_complete_versions_activated();
   }
 
   /// What was read back too long ago is read again before the next order.
-  void the_engine_stays_out_of_service_also_while_chunks_are_read_again() {
+  void the_engine_stays_out_of_service_during_reverification() {
     engine_->leave_unanswered(1000);
     CPPUNIT_ASSERT(run_until([&] { return engine_->late_orders() > 0; }));
     const TimePoint end = loop_now() + milliseconds(3500);
--- a/tests/support/scripted_engine.h
+++ b/tests/support/scripted_engine.h
@@ -40,10 +40,10 @@
 class ScriptedEngine : public EngineControl {
  public:
   /// What an order found in the staging memory when it was carried out.
-  struct Taken {
+  struct Activation {
     std::uint64_t version = 0;
     std::map<ChunkIndex, std::string> chunks;
-    bool whole(ChunkIndex chunk_count) const {
+    bool complete(ChunkIndex chunk_count) const {
       if (chunks.size() != chunk_count) return false;
       return std::all_of(chunks.begin(), chunks.end(), [this](const auto& entry) {
         return entry.second == chunk_of(version, entry.first);
@@ -51,24 +51,24 @@
     }
   };
 
-  /// The next so many orders get no answer; carry_out_late_order() carries them out.
+  /// The next so many orders get no answer; execute_late_order() carries them out.
   void leave_unanswered(std::size_t orders) { unanswered_left_ = orders; }
-  void carry_out_late_order() {
+  void execute_late_order() {
     if (late_.empty()) return;
     const StartOrder order = late_.front();
     late_.pop_front();
-    take(order);
+    activate(order);
   }
   /// Orders for `version` are declined from now on.
   void decline(std::uint64_t version) { declined_ = version; }
   /// A chunk that lies there turns bad.
-  void spoil(ChunkIndex chunk) { staged_.at(chunk) += " spoilt"; }
+  void corrupt(ChunkIndex chunk) { staged_.at(chunk) += " spoilt"; }
   /// All of `version` lies there, and the engine is taking it by an order of an earlier agent.
-  void change_over_since_before(std::uint64_t version, ChunkIndex chunk_count) {
+  void begin_earlier_changeover(std::uint64_t version, ChunkIndex chunk_count) {
     for (ChunkIndex chunk = 0; chunk < chunk_count; ++chunk) {
       staged_[chunk] = chunk_of(version, chunk);
     }
-    take({"", version, sequence_});
+    activate({"", version, sequence_});
     changing_over_ = true;
   }
   void end_changeover() { changing_over_ = false; }
@@ -86,14 +86,14 @@
     report.order_sequence = sequence_;
     return report;
   }
-  const std::vector<Taken>& taken() const { return taken_; }
+  const std::vector<Activation>& activations() const { return activations_; }
   std::size_t late_orders() const { return late_.size(); }
   /// Orders that were given, answered or not.
   std::size_t orders() const { return orders_; }
   std::uint64_t serving() const { return serving_; }
   /// Whether all that lies in the staging memory is of `version`.
   bool holds(std::uint64_t version, ChunkIndex chunk_count) const {
-    return Taken{version, staged_}.whole(chunk_count);
+    return Activation{version, staged_}.complete(chunk_count);
   }
 
   bool holds_chunk(std::uint64_t version, ChunkIndex chunk) const {
@@ -132,18 +132,18 @@
       answers_.add([callback] { callback(StartOutcome::unknown); });
       return;
     }
-    const bool begun = take(order);
+    const bool begun = activate(order);
     answers_.add(
         [callback, begun] { callback(begun ? StartOutcome::begun : StartOutcome::refused); });
   }
 
  private:
   /// @return whether the order was begun: not if its count is out of date.
-  bool take(const StartOrder& order) {
+  bool activate(const StartOrder& order) {
     if (order.expected_sequence != sequence_ || changing_over_) return false;
     if (order.version == declined_) return false;
     ++sequence_;
-    taken_.push_back({order.version, staged_});
+    activations_.push_back({order.version, staged_});
     serving_ = order.version;
     return true;
   }
@@ -157,19 +157,19 @@
   std::uint64_t sequence_ = 0;
   bool changing_over_ = false;
   bool reporting_ = true;
-  std::vector<Taken> taken_;
+  std::vector<Activation> activations_;
   std::uint64_t serving_ = 0;
 };
 
 class ScriptedOrigin : public WeightOrigin {
  public:
   explicit ScriptedOrigin(ChunkIndex chunk_count)
-      : chunk_count_(chunk_count), chunks_given_(chunk_count) {}
+      : chunk_count_(chunk_count), available_chunks_(chunk_count) {}
   void set_newest(std::uint64_t version) { newest_ = version; }
   /// Manifests of older versions are refused from now on.
   void forget_manifests_before(std::uint64_t version) { oldest_manifest_ = version; }
   /// Chunks from this one on are refused from now on.
-  void withhold_chunks_from(ChunkIndex chunk) { chunks_given_ = chunk; }
+  void withhold_chunks_from(ChunkIndex chunk) { available_chunks_ = chunk; }
   void deliver() { answers_.deliver(); }
   /// Whoever asked is gone; what it ordered may still be carried out.
   void drop_answers() { answers_.drop(); }
@@ -190,7 +190,7 @@
   void fetch_chunk(const std::string&, std::uint64_t version, ChunkIndex chunk,
                    std::function<void(std::optional<std::string>)> callback) override {
     std::optional<std::string> bytes;
-    if (chunk < chunks_given_) bytes = chunk_of(version, chunk);
+    if (chunk < available_chunks_) bytes = chunk_of(version, chunk);
     answers_.add([callback, bytes] { callback(bytes); });
   }
   void cancel_chunk(const std::string&, std::uint64_t, ChunkIndex) override {}
@@ -199,7 +199,7 @@
 
  private:
   ChunkIndex chunk_count_;
-  ChunkIndex chunks_given_;
+  ChunkIndex available_chunks_;
   std::uint64_t newest_ = 1;
   std::uint64_t oldest_manifest_ = 0;
   PendingAnswers answers_;
--- a/tests/support/staging_test.h
+++ b/tests/support/staging_test.h
@@ -18,7 +18,7 @@
     settings_ = {};
     settings_.name = "agent";
     settings_.internal_address = {"127.0.0.1", 1};
-    prompts_wait_ = false;
+    prompts_waiting_ = false;
     engine_ = std::make_unique<ScriptedEngine>();
     origin_ = std::make_unique<ScriptedOrigin>(kChunks);
     origin_->set_newest(kFirst);
@@ -41,7 +41,7 @@
   void start_agent() {
     stager_ = std::make_unique<ModelStager>(
         "m", settings_, charts().staging, *engine_, *origin_, *links_, *metrics_,
-        ModelStager::Callbacks{[] {}, [this] { return prompts_wait_; },
+        ModelStager::Callbacks{[] {}, [this] { return prompts_waiting_; },
                                [](const std::string&, const std::string&) {}});
   }
 
@@ -53,7 +53,7 @@
 
   void name_second() {
     origin_->set_newest(kSecond);
-    stager_->on_named(kSecond);
+    stager_->on_version_named(kSecond);
   }
 
   /// One turn of the agent's loop.
@@ -74,21 +74,21 @@
   /// @return whether the condition came true, within a generous limit.
   template <class Condition>
   bool run_until(Condition condition) {
-    constexpr Duration kGenerous = seconds(20);
-    const TimePoint end = loop_now() + kGenerous;
+    constexpr Duration kTimeout = seconds(20);
+    const TimePoint end = loop_now() + kTimeout;
     while (!condition() && loop_now() < end) step();
     return condition();
   }
 
-  void assert_only_whole_versions_were_taken() const {
-    for (const auto& taken : engine_->taken()) {
-      CPPUNIT_ASSERT_MESSAGE("version " + std::to_string(taken.version) + " was taken in part",
-                             taken.whole(kChunks));
+  void assert_only_complete_versions_activated() const {
+    for (const auto& activation : engine_->activations()) {
+      CPPUNIT_ASSERT_MESSAGE("version " + std::to_string(activation.version) + " was taken in part",
+                             activation.complete(kChunks));
     }
   }
 
   HostSettings settings_;
-  bool prompts_wait_ = false;  ///< Requests that gateways sent have not begun.
+  bool prompts_waiting_ = false;  ///< Requests that gateways sent have not begun.
   std::unique_ptr<ScriptedEngine> engine_;
   std::unique_ptr<ScriptedOrigin> origin_;
   std::unique_ptr<Metrics> metrics_;
