--- a/src/host/staging/engine_stager.cpp
+++ b/src/host/staging/engine_stager.cpp
@@ -9,15 +9,16 @@
 namespace pumicemast {
 namespace {
 
-/// What was read back longer ago is read again before a start.
+/// A verification older than this is repeated before the engine is started.
 constexpr Duration kCheckLifetime = milliseconds(1500);
-/// The same while an order waits for requests to begin, or has to be given again. A chunk that
-/// turns bad is to be found within 3 s.
+/// The same while a start order waits for requests to begin or has to be retried. A chunk that
+/// becomes corrupt must be found within 3 s.
 constexpr Duration kCheckLifetimeAtOrder = kCheckLifetime + StartReadinessOptions{}.max_wait;
-/// An order without an answer is given again after so long: each costs a call to the engine, and
-/// meanwhile the engine serves nobody.
+/// Interval between retries of an unanswered start order. Each retry costs a call to the engine,
+/// but the engine serves no requests until an order succeeds.
 constexpr Duration kOrderRetryInterval = milliseconds(100);
-/// An order to start that shows no effect for so long is given again.
+/// A start order without effect for this long has failed: the chunks are verified again before the
+/// next order.
 constexpr Duration kStartTimeout = milliseconds(1500);
 
 }  // namespace
@@ -105,7 +106,7 @@
 }
 
 void EngineStager::advance_start(TimePoint now) {
-  // An engine that says nothing must not be taken for one that serves nothing.
+  // The report of an unreachable engine looks like that of an engine without weights.
   if (!load_.alive) return;
   if (!ordered_) {
     const bool holds_no_weights = load_.weight_version == 0;
@@ -131,7 +132,7 @@
 }
 
 bool EngineStager::needs_marker() const {
-  // What an order may still take must stay whole.
+  // A pending order may still activate the staged version: it must stay complete.
   if (!marking_allowed_ || order_pending() || staged_[kMarkerChunk] == marker_hash_) return false;
   const auto count = static_cast<ChunkIndex>(source_->manifest()->hashes.size());
   for (ChunkIndex chunk = kMarkerChunk + 1; chunk < count; ++chunk) {
@@ -159,7 +160,7 @@
                        [this, generation = generation_, chunk, hash](bool done) {
                          if (generation != generation_) return;
                          writing_ = false;
-                         if (!done) return;  // Tried again at the next tick.
+                         if (!done) return;  // Retried at the next tick.
                          staged_[chunk] = hash;
                          write_missing();
                        });
@@ -222,7 +223,7 @@
     apply_event("serving");
     return;
   }
-  // A turn that was planned before an earlier check stands.
+  // A start that was scheduled before an earlier verification stays as it is.
   if (!scheduled_start_)
     scheduled_start_ = load_.weight_version == 0 ? now : callbacks_.schedule_start(now);
   if (*scheduled_start_ <= now) {
@@ -235,7 +236,7 @@
 void EngineStager::begin_start() {
   apply_event("turn_came");
   callbacks_.on_leaving();
-  // Gateways stop sending now; what has reached the engine begins before it changes over.
+  // Gateways stop sending now; requests that have reached the engine begin before it changes over.
   gateways_notified_at_ = loop_now();
   ordered_ = false;
 }
@@ -277,7 +278,7 @@
   }
   if (state_ == "STARTING" && serves_source()) apply_event("serving");
   if (serving() && report.weight_version != source_->version() && !report.busy) {
-    // The engine was started anew, or lost its layers.
+    // The engine was restarted or lost its layers.
     apply_event("engine_lost");
     scheduled_start_.reset();
     check_staged(0);
--- a/src/host/staging/model_stager.cpp
+++ b/src/host/staging/model_stager.cpp
@@ -11,19 +11,21 @@
 namespace pumicemast {
 namespace {
 
-/// An engine that has not answered for so long is not asked what it holds before the transfer.
+/// The transfer waits at most this long after the manifest for the list of chunks that the engine
+/// already holds.
 constexpr Duration kInventoryTimeout = milliseconds(2500);
-/// A process this young does not know when a version was named.
+/// A process that has run for less than this does not know when a version was named.
 constexpr Duration kStartupPeriod = seconds(3);
-/// A version is finished before the next if that one was named at least so many times the time
-/// later that a link needs for one copy. Earlier, one changeover for both is cheaper. All agents
-/// must decide alike: who drops a version also stops bringing its chunks to others.
+/// The current version is finished before the next one if the next was named at least this many
+/// copy times later. If it was named earlier, one changeover for both is cheaper. All agents must
+/// decide alike: an agent that drops a version also stops fetching chunks that others need from it.
 constexpr double kMinimumCopyTimes = 1.3;
-/// Where links have no stated rate a copy is thought to take so long.
+/// Copy time that is assumed when the rate of the link is not configured.
 constexpr Duration kDefaultCopyTime = seconds(3);
-/// The share of the changeover after which a version can't be brought to engines in time.
+/// After this fraction of the changeover an incomplete version can no longer be activated in time.
 constexpr double kAbandonFraction = 0.86;
-/// With so much of a version here the next one begins: links fall idle one by one.
+/// From this progress of the current version on the next download starts, because the links become
+/// idle one by one.
 constexpr double kNearlyCompleteFraction = 0.75;
 
 }  // namespace
@@ -88,7 +90,7 @@
   return std::max(newest_download, pending_version_);
 }
 
-// ---- which version ----
+// ---- choice of the version ----
 
 void ModelStager::on_version_named(std::uint64_t version) {
   if (version <= newest()) return;
@@ -111,7 +113,7 @@
   if (named_at - started_at_ < kStartupPeriod) named_at -= settings_.changeover / 2;
   next_ = make_download(pending_version_, named_at);
   pending_version_ = 0;
-  // What can't be completed any more makes room at once.
+  // A version that can no longer be completed in time is replaced at once.
   if (!current_->complete() && !finishing) promote_next();
 }
 
@@ -135,15 +137,16 @@
 
 bool ModelStager::can_replace_current(TimePoint now) const {
   if (!current_->complete()) return !worth_finishing(now);
-  // The next version would be written over what the engine may still take.
+  // The next version would overwrite chunks that the engine may still activate.
   if (engine_stager_.order_pending()) return false;
-  // Both are here: one changeover is enough, unless an earlier process may have ordered this one.
+  // Both versions are complete: one changeover is enough, unless an earlier process may have
+  // ordered this one.
   const bool may_be_skipped = recovery_state_ == RecoveryState::done && next_->complete();
   return engine_stager_.has_activated() || may_be_skipped;
 }
 
 void ModelStager::promote_next() {
-  // A version that is to be taken first stays the engine's source.
+  // A version that has to be activated first stays the engine's source.
   if (!recovery_download_) engine_stager_.set_source(nullptr);
   if (!current_->complete()) {
     current_->stop_fetching();
@@ -177,7 +180,7 @@
   return schedule_start(*complete_at, now);
 }
 
-// ---- what the engine already holds ----
+// ---- recovery of the engine's staging memory ----
 
 VersionDownload::KnownBytes ModelStager::all_known_bytes() const {
   VersionDownload::KnownBytes known = inventory_.bytes();
@@ -190,8 +193,8 @@
 void ModelStager::start_transfers(TimePoint now) {
   for_each_download([&](VersionDownload& download) {
     if (!download.manifest() || download.transferring()) return;
-    // What lies at the engine need not be fetched. But it may be silent, and others may need what
-    // this agent would fetch.
+    // Chunks that the engine already holds need not be fetched. But the engine may not respond, and
+    // peers may need the chunks that this agent would fetch.
     if (!inventory_.complete() && now - download.manifest_at() < kInventoryTimeout) return;
     download.begin_transfer(all_known_bytes());
   });
@@ -202,7 +205,7 @@
 void ModelStager::recover_staging(TimePoint now) {
   if (recovery_state_ == RecoveryState::done) return;
   if (recovery_state_ == RecoveryState::reissue_order) {
-    // An engine that declines it must not be kept from new weights for good.
+    // An engine that declines the order must still get new weights eventually.
     const bool declined = recovery_.earlier_orders_expired(now) && !engine_stager_.order_pending();
     if (engine_stager_.has_activated() || declined) finish_recovery();
     return;
@@ -277,7 +280,7 @@
 void ModelStager::finish_recovery() {
   recovery_state_ = RecoveryState::done;
   engine_stager_.allow_marking();
-  // Nobody needs what the question took any more.
+  // The manifests of earlier versions were needed for the recovery alone.
   earlier_fetchers_.clear();
   known_manifests_.clear();
   engine_stager_.set_source(engine_source());
@@ -291,7 +294,7 @@
   return source->transferring() ? source : nullptr;
 }
 
-// ---- time and load ----
+// ---- ticks and load reports ----
 
 void ModelStager::on_tick() {
   const TimePoint now = loop_now();
@@ -306,9 +309,9 @@
   for_each_download([&](VersionDownload& download) {
     const auto rank =
         static_cast<std::uint32_t>(changeover_rank(self_, agents_, download.version()));
-    // An engine that serves nothing goes first.
+    // An engine that serves no version goes first.
     download.set_urgency(load_.weight_version == 0 ? 0 : 1 + rank);
-    // Beside a version that is nearly here the next one takes what is left of the links.
+    // While the current version is being completed the next one may use half of each link's window.
     const bool second = &download == next_.get() && !current_->complete();
     download.set_sharers(second ? 2 : 1);
     if (!waiting_for_peers_) download.on_tick(now);
--- a/src/host/staging/model_stager.h
+++ b/src/host/staging/model_stager.h
@@ -1,7 +1,7 @@
-/// Brings the wanted version of one model's weights to the engine beside this agent.
+/// Keeps the target version of one model's weights on the engine of this agent.
 ///
-/// Decides which versions are downloaded and which one is staged. One is staged at a time; the
-/// next is downloaded while the engine waits for its turn to take the one before.
+/// Decides which versions are downloaded and which one is staged. One version is staged at a time;
+/// the next is downloaded while the engine waits for its scheduled start of the one before.
 #pragma once
 
 #include <functional>
@@ -22,11 +22,12 @@
 class ModelStager {
  public:
   struct Callbacks {
-    /// When the engine leaves service has become known, or it is about to: gateways should know.
+    /// The time at which the engine leaves service has become known, or it leaves now: gateways
+    /// should be informed.
     std::function<void()> on_leaving;
-    /// Whether requests that gateways sent to the engine have not begun yet.
+    /// Whether any requests that gateways sent to the engine have not begun yet.
     std::function<bool()> prompts_waiting;
-    /// A decision worth a line.
+    /// Logs a decision; lines are limited per kind.
     std::function<void(const std::string& kind, const std::string& line)> log_line;
   };
 
@@ -34,32 +35,32 @@
               EngineControl& engine, WeightOrigin& origin, PeerLinks& links, Metrics& metrics,
               Callbacks callbacks);
 
-  /// `version` was named.
+  /// `version` was named as the version to serve.
   void on_version_named(std::uint64_t version);
   void set_peers(const std::set<StagingPeer>& peers);
-  /// Nothing is drawn until peers are known: alone, each agent would draw whole copies from the
-  /// origin.
+  /// Nothing is downloaded until peers are known: without peers each agent would fetch a complete
+  /// copy from the origin.
   void wait_for_peers() { waiting_for_peers_ = peers_.empty(); }
   void stop_waiting_for_peers() { waiting_for_peers_ = false; }
   void on_load(const LoadReport& report);
   void on_frame(PeerId peer, const wire::Frame& frame);
   void on_peer_lost(PeerId peer);
   void on_peer_drained(PeerId peer) { uplink_.on_drained(peer); }
-  /// Call every few hundredths of a second.
+  /// Must be called every few tens of milliseconds.
   void on_tick();
 
   const std::string& model() const { return model_; }
-  /// Version that is being brought to the engine; 0 while it is not known.
+  /// Version that is being downloaded and staged; 0 while it is not known.
   std::uint64_t staged_version() const { return current_ ? current_->version() : 0; }
-  /// The engine leaves service, or is about to, or may do so at any moment.
+  /// The engine is leaving service, is about to, or may do so at any moment.
   bool starting() const { return engine_stager_.starting(); }
-  /// An order may still be carried out by the engine.
+  /// A start order may still be carried out by the engine.
   bool order_pending() const { return engine_stager_.order_pending(); }
   /// The engine serves the staged version.
   bool serving() const { return engine_stager_.serving(); }
-  /// When the engine leaves service to change weights, once that is planned.
+  /// When the engine leaves service to change weights, once that is scheduled or can be estimated.
   std::optional<TimePoint> leaves_at(TimePoint now);
-  /// Something is under way that wants frequent ticks.
+  /// A download, activation or recovery is in progress.
   bool needs_frequent_ticks() const;
 
  private:
@@ -70,29 +71,29 @@
   void start_next_download(TimePoint now);
   void promote_next();
   bool can_replace_current(TimePoint now) const;
-  /// Whether a version that is not complete goes before the one named after it.
+  /// Whether the incomplete current version is to be completed before the next one.
   bool worth_finishing(TimePoint now) const;
-  /// That the current version needs on one link.
+  /// Time that a link needs for one copy of the current version.
   Duration copy_time() const;
   void start_transfers(TimePoint now);
   VersionDownload::KnownBytes all_known_bytes() const;
-  /// Finds out whether an earlier process may have ordered what lies at the engine, and has it
-  /// ordered again before anything is written.
+  /// Finds out whether an earlier process may have ordered the version staged at the engine. If so,
+  /// reissues that order before anything is written.
   void recover_staging(TimePoint now);
-  /// Goes on with a version that an earlier process was writing.
+  /// Continues with the version that an earlier process was writing, as the marker identifies it.
   void adopt_marked_version();
   void fetch_earlier_manifests(TimePoint now);
   void on_earlier_manifest(const WeightManifest& manifest);
   void record_manifest(const WeightManifest& manifest);
-  /// The version that the engine serves and is not about to leave; 0 for none.
+  /// The version that the engine serves; 0 for none or while it changes weights.
   std::uint64_t serving_version() const;
-  /// `version`, which lies at the engine whole, is ordered first.
+  /// Orders `version`, which is completely staged at the engine, before any other.
   void reissue_order(std::uint64_t version);
-  /// What lies at the engine may be written over.
+  /// From now on the engine's staging memory may be overwritten.
   void finish_recovery();
-  /// The version that is brought to the engine now; null while nothing may be written.
+  /// The version to stage now; null while nothing may be written or its transfer has not begun.
   const VersionDownload* engine_source() const;
-  /// When the engine may leave service, if all of the version is ready at `ready_at`.
+  /// When the engine may leave service if the version is complete at `ready_at`.
   TimePoint schedule_start(TimePoint ready_at, TimePoint now);
   void on_manifest_request(PeerId peer, const wire::ManifestRequest& request);
   void on_manifest_document(const wire::ManifestDocument& document);
@@ -111,30 +112,31 @@
   std::set<StagingPeer> peers_;
   bool waiting_for_peers_ = false;
   std::vector<PeerId> agents_;  ///< Ids of `peers_`.
-  /// What lay at the engine when this process began, and what may be pending there since before.
+  /// Content of the engine's staging memory when this process started, and orders of an earlier
+  /// process that may still be pending.
   StagedInventory inventory_;
   StagingRecovery recovery_;
-  std::map<std::uint64_t, std::unique_ptr<ManifestSeeker>> earlier_fetchers_;  ///< Sought.
-  /// By version; of all that may lie at the engine, until that is settled.
+  std::map<std::uint64_t, std::unique_ptr<ManifestSeeker>> earlier_fetchers_;  ///< By version.
+  /// By version; manifests of the versions that may be staged, until recovery is done.
   std::map<std::uint64_t, WeightManifest> known_manifests_;
   enum class RecoveryState {
-    undecided,      ///< Nothing may be written.
-    reissue_order,  ///< A version that lies there whole is to be taken first.
-    done            ///< Nothing is pending but this process's own orders.
+    undecided,      ///< Nothing may be written yet.
+    reissue_order,  ///< A completely staged version has to be activated first.
+    done            ///< Only orders of this process can be pending.
   };
   RecoveryState recovery_state_ = RecoveryState::undecided;
-  /// The version to be taken first, where it is not the current one.
+  /// The version to activate first, if it is not the current one.
   DownloadPointer recovery_download_;
-  DownloadPointer previous_;  ///< Others may still want it.
-  DownloadPointer current_;   ///< Brought to the engine; never null.
-  DownloadPointer next_;      ///< Begun when the current one is complete.
-  /// Named after the current one, and not begun yet; 0 for none.
+  DownloadPointer previous_;  ///< Peers may still need it.
+  DownloadPointer current_;   ///< Staged at the engine; never null.
+  DownloadPointer next_;      ///< Downloaded after, or beside, the current one.
+  /// Latest version that was named and whose download has not started yet; 0 for none.
   std::uint64_t pending_version_ = 0;
   TimePoint pending_since_{};
   LoadReport load_;
-  /// When versions newer than what the engine serves were named.
+  /// When each version newer than the served one was named.
   std::map<std::uint64_t, TimePoint> named_at_;
-  /// The version of which gateways have been told when the engine leaves for it, and since when.
+  /// The version whose start time gateways were first informed of, and when.
   std::uint64_t notified_version_ = 0;
   TimePoint notified_at_{};
 };
--- a/src/host/staging/staged_inventory.h
+++ b/src/host/staging/staged_inventory.h
@@ -1,7 +1,7 @@
-/// Reads what lies in the engine's staging place when an agent begins.
+/// Reads the engine's staging memory when an agent starts.
 ///
-/// What is found need not be fetched again, and tells what an earlier process of this agent may
-/// have ordered (host/staging/staging_recovery.h).
+/// Chunks found there need not be fetched again, and show which version an earlier process of this
+/// agent may have ordered (host/staging/staging_recovery.h).
 #pragma once
 
 #include <map>
@@ -21,18 +21,18 @@
   StagedInventory(std::string model, EngineControl& engine)
       : model_(std::move(model)), engine_(engine) {}
 
-  /// Begins to read, unless that is under way or done. A call without an answer says nothing of
-  /// what lies there: all is read again with the next call of this.
+  /// Starts reading unless that is in progress or done. A failed call does not show that a chunk is
+  /// missing, so the next read() starts again from the first chunk.
   void read();
   bool reading() const { return reading_; }
   bool complete() const { return complete_; }
 
-  /// By place; empty where nothing lay.
+  /// By chunk; empty for chunks that were not staged.
   const std::vector<std::optional<Sha256>>& hashes() const { return hashes_; }
-  /// The chunks, unverified, by their hashes.
+  /// The bytes of the chunks by their computed hashes, not checked against any manifest.
   const std::map<Sha256, Bytes>& bytes() const { return bytes_; }
   void drop_bytes() { bytes_.clear(); }
-  /// The version that was being written there, when a marker says so.
+  /// Manifest of the version that was being written, if there is a marker.
   const std::optional<WeightManifest>& marker_manifest() const { return marker_manifest_; }
 
  private:
--- a/src/host/staging/staging_marker.cpp
+++ b/src/host/staging/staging_marker.cpp
@@ -9,7 +9,7 @@
 namespace pumicemast {
 namespace {
 
-/// A marker is this, the digest of the frame that follows, and a frame with the manifest.
+/// A marker consists of this, the SHA-256 of the frame that follows, and a frame with the manifest.
 constexpr std::string_view kMagic = "pumicemast staging marker 1\n";
 
 std::string_view digest_bytes(const Sha256& digest) {
--- a/src/host/staging/staging_marker.h
+++ b/src/host/staging/staging_marker.h
@@ -1,10 +1,9 @@
-/// Marks an engine's staging place as holding no whole version.
+/// Marks an engine's staging memory as holding an incomplete version.
 ///
-/// An agent puts the marker in the place of one chunk before it writes any chunk of another
-/// version, and that chunk over the marker last of all. So what lies beside a marker was ordered by
-/// nobody, whatever it consists of, and an agent that was started anew may go on at once. The
-/// marker also says what the version consists of: after all agents were killed nobody else may
-/// know.
+/// An agent writes the marker in place of one chunk before it writes any chunk of another version,
+/// and overwrites the marker with that chunk last of all. So no agent has ordered the chunks beside
+/// a marker, whatever they are, and a restarted agent may continue at once. The marker contains the
+/// manifest of the version, which may be available nowhere else after all agents were killed.
 #pragma once
 
 #include <optional>
@@ -15,12 +14,12 @@
 
 namespace pumicemast {
 
-/// The place that a marker takes.
+/// The chunk that the marker replaces.
 constexpr ChunkIndex kMarkerChunk = 0;
 
 /// @param manifest  of the version that is being written.
 std::string encode_staging_marker(const WeightManifest& manifest);
-/// @return nothing when the bytes are no marker, or one that turned bad.
+/// @return nothing when the bytes are not a marker or the marker is corrupt.
 std::optional<WeightManifest> decode_staging_marker(std::string_view bytes);
 
 }  // namespace pumicemast
--- a/src/host/staging/staging_recovery.cpp
+++ b/src/host/staging/staging_recovery.cpp
@@ -5,10 +5,10 @@
 namespace pumicemast {
 namespace {
 
-/// When what lies there can't be told, it is left alone for so long: longer than an engine may take
-/// to carry out an order without an answer.
+/// How long staged chunks are kept when their version cannot be identified: longer than an engine
+/// may take to carry out an unanswered order.
 constexpr Duration kEarlierOrderLifetime = seconds(15);
-/// So many versions are not named within that time.
+/// More versions than this are not named within that time.
 constexpr std::uint64_t kMaximumEarlierVersions = 3;
 
 }  // namespace
@@ -19,7 +19,7 @@
 
 std::vector<std::uint64_t> StagingRecovery::earlier_versions(std::uint64_t newest,
                                                              std::uint64_t serving) {
-  // Nothing older than what the engine serves is ordered.
+  // No version older than the served one is ever ordered.
   const std::uint64_t oldest = std::max<std::uint64_t>(1, serving);
   std::vector<std::uint64_t> versions;
   for (std::uint64_t back = 1; back <= kMaximumEarlierVersions && newest >= oldest + back; ++back) {
@@ -48,11 +48,11 @@
   if (!all_chunks_staged(known->second.size())) return {Kind::writable, 0};
   for (const auto& [version, hashes] : manifests_) {
     if (!holds_complete(hashes)) continue;
-    // An order for what the engine serves finds nothing to do.
+    // An order for the version that the engine serves has no effect.
     if (version == serving) return {Kind::writable, 0};
     return {Kind::reissue_order, version};
   }
-  // Chunks that are the newest version's prove nothing: an earlier one may share them.
+  // Chunks of the newest version prove nothing: an earlier version may share them.
   const bool no_version_matches = missing_manifests(newest, serving).empty();
   return {no_version_matches || earlier_orders_expired(now) ? Kind::writable : Kind::undecided, 0};
 }
--- a/src/host/staging/start_orders.h
+++ b/src/host/staging/start_orders.h
@@ -1,9 +1,10 @@
-/// Follows orders to start a version until none of them can be carried out any more.
+/// Tracks orders to start a version until none of them can be carried out any more.
 ///
-/// A decision core: no I/O. An order that got no answer may be carried out many seconds later, and
-/// the engine then takes whatever lies in its one staging place. So what an order names stays there
-/// until the order is settled: answered, or overtaken by the engine's count of orders, which each
-/// order states and which must still be true when it is carried out.
+/// A decision core: no I/O. An unanswered order may be carried out many seconds later, and the
+/// engine then activates whatever its only staging memory holds. So the version that an order names
+/// stays staged until the order is settled: answered, or void because the engine's order sequence
+/// has changed. Each order states the sequence that it expects, and the engine declines it if that
+/// no longer holds.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +17,7 @@
 
 class StartOrders {
  public:
-  /// An order was given that states `sequence`; its outcome follows.
+  /// An order that expects `sequence` was sent; on_outcome() follows.
   void on_sent(std::uint64_t sequence) {
     expected_sequence_ = sequence;
     under_way_ = true;
@@ -29,29 +30,30 @@
       case StartOutcome::unknown:
         unanswered_.insert(expected_sequence_);
         break;
-      case StartOutcome::begun:            // The engine's count has risen.
-      case StartOutcome::already_serving:  // Earlier ones would find nothing to do.
+      case StartOutcome::begun:            // The engine's order sequence has risen.
+      case StartOutcome::already_serving:  // Earlier orders no longer have any effect.
         settle_all();
         break;
       case StartOutcome::refused:
-        break;  // Earlier ones may still be carried out.
+        break;  // Earlier orders may still be carried out.
     }
   }
-  /// The engine answered, and counts `sequence` orders since it was started.
-  /// @param started_at_ms  when that was, by its own clock; 0 when it does not say.
-  /// @return whether this settled an order without an answer.
+  /// The engine reported `sequence` orders since its start.
+  /// @param started_at_ms  start time of the engine by its own clock; 0 when it is not reported.
+  /// @return whether this settled an unanswered order.
   bool on_report(std::uint64_t sequence, std::int64_t started_at_ms = 0) {
     const bool engine_restarted = started_at_ms_ != 0 && started_at_ms != started_at_ms_;
     started_at_ms_ = started_at_ms;
     if (unanswered_.empty()) return false;
     if (engine_restarted) {
-      // Its count may be the same again, but what was on its way ended with its connections.
+      // The new process may have reached the same sequence, but orders in flight were lost with the
+      // connections of the old one.
       unanswered_.clear();
       carried_out_ = false;
       return true;
     }
-    // A higher count: one was carried out. A lower one: the engine was started anew, and its
-    // connections ended with it. An order that states what the engine counts may still come.
+    // A higher sequence: an order was carried out. A lower one: the engine was restarted and its
+    // connections were lost. An order that expects the reported sequence may still be carried out.
     const bool begun = sequence > 0 && unanswered_.contains(sequence - 1);
     const bool settled = std::erase_if(unanswered_, [&](std::uint64_t expected) {
                            return expected != sequence;
@@ -59,8 +61,8 @@
     if (settled) carried_out_ = begun;
     return settled;
   }
-  /// The engine serves what the orders name: any that comes later finds nothing to do.
-  /// @return whether this settled an order without an answer.
+  /// The engine serves the version that the orders name: late ones no longer have any effect.
+  /// @return whether this settled an unanswered order.
   bool on_served() {
     if (unanswered_.empty()) return false;
     settle_all();
@@ -77,13 +79,13 @@
   bool pending() const { return under_way_ || !unanswered_.empty(); }
   bool in_flight() const { return under_way_; }
   bool unanswered() const { return !under_way_ && !unanswered_.empty(); }
-  /// The last order was declined because the engine's count was another than it stated.
+  /// The last order was declined because the engine's sequence was not the expected one.
   bool stale(std::uint64_t sequence) const {
     return !under_way_ && last_outcome_ == StartOutcome::refused && sequence != expected_sequence_;
   }
-  /// The engine has taken what lay there.
+  /// The engine has activated the staged version.
   bool carried_out() const { return carried_out_; }
-  /// Orders given for this version.
+  /// Orders sent for this version.
   std::uint32_t attempts() const { return attempts_; }
 
  private:
@@ -95,7 +97,7 @@
   std::uint64_t expected_sequence_ = 0;
   std::int64_t started_at_ms_ = 0;
   bool under_way_ = false;
-  /// The counts that orders without an answer stated.
+  /// The sequences that unanswered orders expect.
   std::set<std::uint64_t> unanswered_;
   std::optional<StartOutcome> last_outcome_;
   bool carried_out_ = false;
--- a/src/host/staging/start_readiness.h
+++ b/src/host/staging/start_readiness.h
@@ -1,7 +1,8 @@
-/// When what gateways sent to an engine has begun, so that it may be ordered to change weights.
+/// Decides when an engine may be ordered to change weights.
 ///
-/// A decision core: no I/O. A request that has not begun would begin on the old weights whenever
-/// the machine goes on after standing still, and would wait for the whole change otherwise.
+/// A decision core: no I/O. The engine is ready once the requests sent to it have begun. A request
+/// that has not begun would wait for the whole changeover, or, if the machine was paused, begin on
+/// the old weights whenever it resumes.
 #pragma once
 
 #include "common/time.h"
@@ -9,15 +10,15 @@
 namespace pumicemast {
 
 struct StartReadinessOptions {
-  /// From the word to gateways until nothing more comes from them.
+  /// From the notification of the gateways until no more requests arrive from them.
   Duration notification_delay = milliseconds(60);
-  /// What has reached the engine begins before the order, unless that takes so long.
+  /// The order waits at most this long for requests at the engine to begin.
   Duration max_wait = milliseconds(800);
 };
 
-/// @param since           how long ago gateways were told to send nothing more.
-/// @param prompts_waiting    requests are there that have not begun, as gateways tell.
-/// @param holds_no_weights  the engine holds no weights: nothing was sent there.
+/// @param since_notification  how long ago gateways were told to send no more requests.
+/// @param prompts_waiting     gateways report requests at the engine that have not begun.
+/// @param holds_no_weights    the engine holds no weights, so that no requests were sent to it.
 inline bool ready_to_start(Duration since_notification, bool prompts_waiting, bool holds_no_weights,
                            const StartReadinessOptions& options = {}) {
   if (holds_no_weights || since_notification >= options.max_wait) return true;
--- a/src/host/staging/start_schedule.h
+++ b/src/host/staging/start_schedule.h
@@ -1,8 +1,8 @@
-/// When each engine may leave service to change over to new weights.
+/// Computes when each engine may leave service to change over to new weights.
 ///
-/// A decision core: no I/O. An engine that changes over first finishes what it runs and takes
-/// nothing new, so that all at once would leave the fleet without room. Every agent computes
-/// its own turn from the same list; nobody hands turns out.
+/// A decision core: no I/O. An engine that changes over first finishes its running requests and
+/// accepts no new ones, so that changing all engines at once would leave the fleet without
+/// capacity. Every agent computes its own start time from the same list; there is no coordinator.
 #pragma once
 
 #include <algorithm>
@@ -19,14 +19,15 @@
 struct StartScheduleOptions {
   /// From the naming of a version until requests may no longer start on older ones.
   Duration changeover = seconds(8);
-  /// Turns are spread between these shares of the changeover. The first is about when the
-  /// first agents can have all of a version.
+  /// Start times are spread between these fractions of the changeover. The first is about when the
+  /// earliest agents can have a complete version.
   double first_start_fraction = 0.45;
   double last_start_fraction = 0.86;
-  /// Gateways know of a turn this long before, so that they send no long answers' requests.
+  /// Gateways know the start time this long in advance, so that they send the engine no requests
+  /// with long responses.
   Duration notice = milliseconds(600);
-  /// When the first version was named that is newer than what the engine serves, if that is not
-  /// the one whose turn is planned.
+  /// When the first version newer than the served one was named, if that is not the version to
+  /// start.
   std::optional<TimePoint> first_newer_named_at;
 };
 
@@ -42,8 +43,8 @@
 /// @param self          this engine's agent.
 /// @param participants  all agents of the service.
 /// @param named_at      when the version was named, as far as it is known here.
-/// @param now           its weights are complete and verified from now on.
-/// @return when this engine starts the version: at once when its turn has passed.
+/// @param now           when its weights are complete and verified.
+/// @return when this engine starts the version: at once if its time in the schedule has passed.
 inline TimePoint scheduled_start(PeerId self, const std::vector<PeerId>& participants,
                                  std::uint64_t version, TimePoint named_at, TimePoint now,
                                  const StartScheduleOptions& options) {
@@ -53,7 +54,7 @@
     const double offset = static_cast<double>(options.changeover.count()) * fraction;
     return named + Duration(static_cast<Duration::rep>(offset));
   };
-  // An engine whose weights no request may start on any more has nothing to wait for.
+  // An engine on whose weights requests may no longer start has nothing to wait for.
   const TimePoint last_start =
       time_at_fraction(std::min(named_at, options.first_newer_named_at.value_or(named_at)),
                        options.last_start_fraction);
@@ -61,7 +62,7 @@
       std::min(last_start, time_at_fraction(named_at, options.first_start_fraction));
   const double offset = position * static_cast<double>((last_start - first_start).count());
   const TimePoint start = first_start + Duration(static_cast<Duration::rep>(offset));
-  // Notice is worth having only while there is time.
+  // The notice does not delay a start beyond the last one of the schedule.
   const TimePoint earliest = std::max(now, std::min(now + options.notice, last_start));
   return std::max(earliest, start);
 }
--- a/tests/host/staging/late_start_order_test.cpp
+++ b/tests/host/staging/late_start_order_test.cpp
@@ -4,17 +4,13 @@
 
 namespace pumicemast {
 
-/// Callers got tokens that were made from weights of two versions.
+/// Guards against an engine that serves a mixture of two versions after a late start order.
 ///
-/// An engine had been started anew. Its agent verified all chunks of version 8 there and ordered
-/// it to start them; the engine gave no answer. Version 9 was named 0.35 s later. The agent took
-/// the order for carried out 150 ms after sending it, and wrote chunks of version 9 over those of
-/// version 8. The engine carried the order out 2.7 s after it was sent, and took what lay there.
-///
-/// Evidence: the agent's lines tell the order and no outcome; the operators' log has the order end
-/// 2.7 s after it was sent; the engine served as version 8 from then on, while the 96 chunks of
-/// version 9 came in, 0.4 to 4.3 s after the order, each to be written at once. Orders that got an
-/// answer preceded no such token.
+/// A restarted engine did not answer the order to start version 8, whose chunks its agent had
+/// verified. Version 9 was named 0.35 s later. The agent assumed 150 ms after sending the order
+/// that it had been carried out, and overwrote chunks of version 8 with those of version 9 as they
+/// arrived, 0.4 to 4.3 s after the order. The engine carried the order out 2.7 s after it was sent,
+/// activated the mixture, and served it as version 8. Only unanswered orders led to this.
 class LateStartOrderTest : public tests::StagingTest {
   CPPUNIT_TEST_SUITE(LateStartOrderTest);
   CPPUNIT_TEST(a_late_order_activates_the_version_it_names);
@@ -48,8 +44,8 @@
     assert_only_complete_versions_activated();
   }
 
-  /// Gateways that take such an engine for free send it requests, which may begin on old weights
-  /// late: one did 8.1 s after newer ones were named, on an engine with an unanswered order.
+  /// Gateways that consider such an engine available send it requests, which may begin on old
+  /// weights too late: one began 8.1 s after newer weights were named.
   void an_engine_with_an_unanswered_order_is_reported_as_leaving() {
     engine_->leave_unanswered(1000);
     CPPUNIT_ASSERT(run_until([&] { return engine_->late_orders() > 0; }));
@@ -60,8 +56,8 @@
     }
   }
 
-  /// Between the reading back and the order an agent waits for requests to begin. When its machine
-  /// stood still meanwhile, what it had read back was too old to tell that a chunk had turned bad.
+  /// Between the verification and the order an agent waits for requests to begin. If its machine
+  /// was paused meanwhile, the verification was too old to detect that a chunk had become corrupt.
   void a_paused_machine_verifies_again_before_it_orders() {
     settings_.changeover = seconds(1);
     CPPUNIT_ASSERT(run_until([&] { return stager_->serving(); }));
--- a/tests/host/staging/restarted_agent_test.cpp
+++ b/tests/host/staging/restarted_agent_test.cpp
@@ -4,14 +4,14 @@
 
 namespace pumicemast {
 
-/// Engines served old weights for 15 s although all but a few chunks of the new ones lay there.
+/// Guards against a delay of 15 s in staging a version after all agents were restarted.
 ///
-/// A version was under way when all agents were killed at the same moment. Their successors found
-/// the engines' staging places full, mostly of the new version's chunks, and had to find out
-/// whether an older version lay there whole, which a predecessor might have ordered. Its manifest
-/// was to be had nowhere: the origin keeps two, and nobody else was left. So they wrote nothing
-/// until any such order was too old: 56 of 76 engines started the version 15 s later than its last
-/// chunk was there.
+/// All agents were killed at the same moment while a version was being staged. The restarted agents
+/// found the engines' staging memory full, mostly of chunks of the new version, and had to find out
+/// whether an older version was completely staged, which an earlier process might have ordered. Its
+/// manifest was not available: the origin keeps two manifests, and no other agent had it. So the
+/// agents wrote nothing until any such order had expired, and 56 of 76 engines started the version
+/// 15 s after its last chunk had arrived.
 class RestartedAgentTest : public tests::StagingTest {
   CPPUNIT_TEST_SUITE(RestartedAgentTest);
   CPPUNIT_TEST(a_half_staged_version_resumes_without_older_manifests);
@@ -21,7 +21,7 @@
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr std::uint64_t kThird = 10;
-  /// Besides the time for missing chunks, which are here at once.
+  /// Limit of the recovery; the missing chunks arrive at once.
   static constexpr Duration kRestartLimit = seconds(2);
 
   void stage_half(std::uint64_t version) {
@@ -76,7 +76,7 @@
     assert_served_promptly(kThird);
   }
 
-  /// An order without an answer may be carried out at any moment; it must find whole weights.
+  /// An unanswered order may be carried out at any moment and must find a complete version.
   void chunks_of_an_earlier_order_are_not_overwritten() {
     engine_->leave_unanswered(1);
     name_second();
--- a/tests/host/staging/staging_marker_test.cpp
+++ b/tests/host/staging/staging_marker_test.cpp
@@ -28,9 +28,9 @@
   void a_corrupt_marker_is_rejected() {
     const std::string marker = encode_staging_marker(manifest());
     for (std::size_t at = 0; at < marker.size(); ++at) {
-      std::string spoilt = marker;
-      spoilt[at] = static_cast<char>(spoilt[at] ^ 1);
-      CPPUNIT_ASSERT(!decode_staging_marker(spoilt));
+      std::string corrupt = marker;
+      corrupt[at] = static_cast<char>(corrupt[at] ^ 1);
+      CPPUNIT_ASSERT(!decode_staging_marker(corrupt));
       CPPUNIT_ASSERT(!decode_staging_marker(std::string_view(marker).substr(0, at)));
     }
   }
--- a/tests/host/staging/staging_recovery_test.cpp
+++ b/tests/host/staging/staging_recovery_test.cpp
@@ -27,9 +27,10 @@
 
 }  // namespace
 
-/// An agent was killed while an order to start version 3 had no answer. Its successor knew of no
-/// order and wrote version 5 over it; the engine then carried the order out, and callers got tokens
-/// of both. Seen in 2 of 52 runs with agents killed at that moment.
+/// Guards against responses with tokens of two versions. An agent was killed while an order to
+/// start version 3 was unanswered. The restarted agent did not know of the order and overwrote
+/// version 3 with version 5; then the engine carried the order out. Seen in 2 of 52 runs in which
+/// agents were killed at that moment.
 class StagingRecoveryTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StagingRecoveryTest);
   CPPUNIT_TEST(nothing_is_decided_before_the_inventory_is_read);
@@ -96,14 +97,14 @@
     staged[0] = manifest_of(kNewest).hashes[0];
     staging_.on_inventory(staged);
     staging_.on_manifest(manifest_of(kNewest));
-    // A version that shares the chunk may lie there whole.
+    // A version that shares the chunk may be completely staged.
     staging_.on_manifest(manifest_of(6));
     assert_kind(Kind::undecided);
     staging_.on_manifest(manifest_of(kServing));
     assert_kind(Kind::writable);
   }
 
-  /// Its manifest is to be had nowhere any more.
+  /// The manifest of an earlier version is no longer available anywhere.
   void unidentified_chunks_are_kept_until_earlier_orders_expire() {
     Staged staged = complete_version(kServing);
     staged[1] = manifest_of(kNewest).hashes[1];
--- a/tests/host/staging/start_orders_test.cpp
+++ b/tests/host/staging/start_orders_test.cpp
@@ -4,7 +4,7 @@
 
 namespace pumicemast {
 
-/// Until when an order to start may still be carried out.
+/// How long a start order may still be carried out.
 class StartOrdersTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StartOrdersTest);
   CPPUNIT_TEST(an_answered_order_is_settled);
@@ -41,7 +41,7 @@
   void an_answered_order_settles_earlier_ones() {
     StartOrders orders = with_unanswered(4);
     orders.on_sent(4);
-    CPPUNIT_ASSERT(!orders.unanswered());  // One is on its way.
+    CPPUNIT_ASSERT(!orders.unanswered());  // One is in flight.
     orders.on_outcome(StartOutcome::begun);
     CPPUNIT_ASSERT(!orders.pending());
     CPPUNIT_ASSERT(orders.carried_out());
@@ -70,7 +70,8 @@
     CPPUNIT_ASSERT(!orders.carried_out());
   }
 
-  /// It was started anew between two reports, and another order brought it to the same count.
+  /// The engine was restarted between two reports, and another order brought it to the same
+  /// sequence.
   void a_restarted_engine_is_recognized_by_its_start_time() {
     StartOrders orders;
     orders.on_report(1, 1000);
@@ -90,7 +91,7 @@
     CPPUNIT_ASSERT(!orders.stale(5));
     orders.on_outcome(StartOutcome::refused);
     CPPUNIT_ASSERT(orders.stale(5));
-    CPPUNIT_ASSERT(!orders.stale(4));  // It does not fit the engine's state.
+    CPPUNIT_ASSERT(!orders.stale(4));  // Refused because of the engine's state.
   }
 
  private:
--- a/tests/host/staging/unanswered_order_test.cpp
+++ b/tests/host/staging/unanswered_order_test.cpp
@@ -5,12 +5,13 @@
 
 namespace pumicemast {
 
-/// How an order without an answer ends: too early, it lets the next version be written over what
-/// the engine may still take; never, it keeps the engine from every later version.
+/// Guards against settling an unanswered start order too early or never.
 ///
-/// Seen by reading: an order that only an agent started anew gave, to an engine that was changing
-/// over by an earlier order, begins nothing, so that no count tells of it. And an engine whose
-/// report fails to come is noted with a count of 0, which an order then states.
+/// Too early, the next version overwrites chunks that the engine may still activate; never, the
+/// engine gets no later version. Two ways into this: an order of a restarted agent to an engine
+/// that is changing over by an earlier order has no effect, so that the order sequence does not
+/// show it. And an engine whose report is missing is recorded with sequence 0, which an order then
+/// states.
 class UnansweredOrderTest : public tests::StagingTest {
   CPPUNIT_TEST_SUITE(UnansweredOrderTest);
   CPPUNIT_TEST(an_order_without_effect_is_settled_when_the_engine_serves);
@@ -29,7 +30,7 @@
     settings_.changeover = seconds(1);
   }
 
-  /// The agent was started anew while its engine took version 8; its own order got no answer.
+  /// The agent was restarted while its engine activated version 8, and its own order is unanswered.
   void an_order_without_effect_is_settled_when_the_engine_serves() {
     engine_->begin_earlier_changeover(kFirst, kChunks);
     engine_->leave_unanswered(1000);
@@ -47,7 +48,7 @@
     orders.on_outcome(StartOutcome::unknown);
     orders.on_sent(0);
     orders.on_outcome(StartOutcome::unknown);
-    orders.on_report(4);  // The first may still be carried out.
+    orders.on_report(4);  // The first order may still be carried out.
     CPPUNIT_ASSERT(orders.pending());
     CPPUNIT_ASSERT(!orders.carried_out());
     orders.on_report(5);
@@ -55,8 +56,8 @@
     CPPUNIT_ASSERT(orders.carried_out());
   }
 
-  /// The order would state a count that the engine does not have, and would not wait for requests
-  /// to begin: an engine that says nothing looks like one that serves nothing.
+  /// The order would state a wrong sequence and would not wait for requests to begin, because the
+  /// missing report looks like that of an engine without weights.
   void an_engine_that_does_not_report_gets_no_order() {
     CPPUNIT_ASSERT(run_until([&] { return stager_->serving(); }));
     prompts_waiting_ = true;
@@ -70,7 +71,7 @@
     CPPUNIT_ASSERT(run_until([&] { return engine_->serving() == kSecond; }));
   }
 
-  /// Each millisecond until then the engine serves nobody.
+  /// The engine serves no requests until the order is carried out.
   void an_unanswered_order_is_retried_promptly() {
     engine_->leave_unanswered(1);
     CPPUNIT_ASSERT(run_until([&] { return engine_->late_orders() == 1; }));
@@ -78,8 +79,9 @@
     CPPUNIT_ASSERT_EQUAL(kFirst, engine_->serving());
   }
 
-  /// An agent was killed while its order had no answer. The next process knew of none, and wrote
-  /// the version named meanwhile over what the engine then took; callers got tokens of both.
+  /// An agent was killed while its order was unanswered. The next process did not know of the order
+  /// and overwrote the ordered version with the one named meanwhile; the engine then activated the
+  /// mixture, and responses had tokens of both versions.
   void a_restarted_agent_keeps_chunks_of_an_earlier_order() {
     engine_->leave_unanswered(1);
     CPPUNIT_ASSERT(run_until([&] { return engine_->late_orders() == 1; }));
@@ -92,8 +94,8 @@
     assert_only_complete_versions_activated();
   }
 
-  /// The engine said nothing at first. Meanwhile the version that lies there was the one to bring
-  /// to it, and then no longer.
+  /// The engine does not report at first. In that time the staged version is the target at first
+  /// and is then replaced by a newer one.
   void a_version_named_before_the_inventory_is_read_overwrites_nothing() {
     engine_->leave_unanswered(1);
     CPPUNIT_ASSERT(run_until([&] { return engine_->late_orders() == 1; }));
@@ -110,7 +112,7 @@
     assert_only_complete_versions_activated();
   }
 
-  /// It would otherwise be kept from all weights for good.
+  /// Otherwise the engine would never get any weights again.
   void an_engine_that_declines_the_staged_version_gets_the_next_one() {
     engine_->leave_unanswered(1);
     CPPUNIT_ASSERT(run_until([&] { return engine_->late_orders() == 1; }));
@@ -122,7 +124,7 @@
     assert_only_complete_versions_activated();
   }
 
-  /// What was read back too long ago is read again before the next order.
+  /// Chunks whose verification is too old are read again before the next order.
   void the_engine_stays_out_of_service_during_reverification() {
     engine_->leave_unanswered(1000);
     CPPUNIT_ASSERT(run_until([&] { return engine_->late_orders() > 0; }));
--- a/tests/support/scripted_engine.h
+++ b/tests/support/scripted_engine.h
@@ -1,7 +1,7 @@
-/// An engine and an origin of weights in memory, for the agent's staging.
+/// An in-memory engine and weight origin for tests of the agent's staging.
 ///
-/// Calls are answered by deliver(), as a loop would. Orders may be left without an answer and be
-/// carried out when the test says so, as an engine may that was slow or hard to reach.
+/// deliver() responds to calls, as the event loop would. Orders may be left unanswered and carried
+/// out later by the test, as by a slow engine or over a slow link.
 #pragma once
 
 #include <algorithm>
@@ -15,12 +15,12 @@
 
 namespace pumicemast::tests {
 
-/// Chunks of a version: no two versions have one in common.
+/// Content of a chunk; no two versions share a chunk.
 inline std::string chunk_of(std::uint64_t version, ChunkIndex chunk) {
   return "chunk " + std::to_string(chunk) + " of version " + std::to_string(version);
 }
 
-/// Calls whose answers are on their way.
+/// Calls whose responses were not delivered yet.
 class PendingAnswers {
  public:
   void add(std::function<void()> answer) { answers_.push_back(std::move(answer)); }
@@ -30,7 +30,7 @@
     for (const auto& answer : answers) answer();
   }
 
-  /// Whoever asked is gone.
+  /// The agent that made the calls is gone.
   void drop() { answers_.clear(); }
 
  private:
@@ -39,7 +39,7 @@
 
 class ScriptedEngine : public EngineControl {
  public:
-  /// What an order found in the staging memory when it was carried out.
+  /// Content of the staging memory when an order was carried out.
   struct Activation {
     std::uint64_t version = 0;
     std::map<ChunkIndex, std::string> chunks;
@@ -51,7 +51,7 @@
     }
   };
 
-  /// The next so many orders get no answer; execute_late_order() carries them out.
+  /// Leaves the next `orders` orders unanswered; execute_late_order() carries them out.
   void leave_unanswered(std::size_t orders) { unanswered_left_ = orders; }
   void execute_late_order() {
     if (late_.empty()) return;
@@ -59,11 +59,11 @@
     late_.pop_front();
     activate(order);
   }
-  /// Orders for `version` are declined from now on.
+  /// Orders for `version` are refused from now on.
   void decline(std::uint64_t version) { declined_ = version; }
-  /// A chunk that lies there turns bad.
-  void corrupt(ChunkIndex chunk) { staged_.at(chunk) += " spoilt"; }
-  /// All of `version` lies there, and the engine is taking it by an order of an earlier agent.
+  /// Corrupts a staged chunk.
+  void corrupt(ChunkIndex chunk) { staged_.at(chunk) += " corrupt"; }
+  /// All of `version` is staged, and the engine is activating it by an order of an earlier agent.
   void begin_earlier_changeover(std::uint64_t version, ChunkIndex chunk_count) {
     for (ChunkIndex chunk = 0; chunk < chunk_count; ++chunk) {
       staged_[chunk] = chunk_of(version, chunk);
@@ -72,10 +72,10 @@
     changing_over_ = true;
   }
   void end_changeover() { changing_over_ = false; }
-  /// Without reports the engine looks as if it had gone; all else is answered.
+  /// Without reports the engine looks unreachable; other calls are still answered.
   void set_reporting(bool reporting) { reporting_ = reporting; }
   void deliver() { answers_.deliver(); }
-  /// Whoever asked is gone; what it ordered may still be carried out.
+  /// The agent is gone; orders that it sent may still be carried out.
   void drop_answers() { answers_.drop(); }
   LoadReport report() const {
     LoadReport report;
@@ -88,10 +88,10 @@
   }
   const std::vector<Activation>& activations() const { return activations_; }
   std::size_t late_orders() const { return late_.size(); }
-  /// Orders that were given, answered or not.
+  /// Orders received, answered or not.
   std::size_t orders() const { return orders_; }
   std::uint64_t serving() const { return serving_; }
-  /// Whether all that lies in the staging memory is of `version`.
+  /// Whether the staging memory holds exactly the chunks of `version`.
   bool holds(std::uint64_t version, ChunkIndex chunk_count) const {
     return Activation{version, staged_}.complete(chunk_count);
   }
@@ -138,7 +138,7 @@
   }
 
  private:
-  /// @return whether the order was begun: not if its count is out of date.
+  /// @return whether the activation began; it does not if the expected sequence is out of date.
   bool activate(const StartOrder& order) {
     if (order.expected_sequence != sequence_ || changing_over_) return false;
     if (order.version == declined_) return false;
@@ -166,12 +166,12 @@
   explicit ScriptedOrigin(ChunkIndex chunk_count)
       : chunk_count_(chunk_count), available_chunks_(chunk_count) {}
   void set_newest(std::uint64_t version) { newest_ = version; }
-  /// Manifests of older versions are refused from now on.
+  /// Refuses manifests of older versions from now on.
   void forget_manifests_before(std::uint64_t version) { oldest_manifest_ = version; }
-  /// Chunks from this one on are refused from now on.
+  /// Refuses this chunk and all later ones from now on.
   void withhold_chunks_from(ChunkIndex chunk) { available_chunks_ = chunk; }
   void deliver() { answers_.deliver(); }
-  /// Whoever asked is gone; what it ordered may still be carried out.
+  /// The agent that made the calls is gone.
   void drop_answers() { answers_.drop(); }
 
   // WeightOrigin
--- a/tests/support/staging_test.h
+++ b/tests/support/staging_test.h
@@ -1,4 +1,4 @@
-/// A fixture with one agent's staging of a model, before an engine and an origin in memory.
+/// A fixture with one agent's staging of a model and an in-memory engine and origin.
 #pragma once
 
 #include <cppunit/TestFixture.h>
@@ -33,11 +33,11 @@
 
  protected:
   static constexpr ChunkIndex kChunks = 12;
-  /// The version that the origin has from the start.
+  /// The newest version at the origin when the test starts.
   static constexpr std::uint64_t kFirst = 8;
   static constexpr std::uint64_t kSecond = 9;
 
-  /// A process that knows nothing of one before it.
+  /// Starts an agent process without any state of an earlier one.
   void start_agent() {
     stager_ = std::make_unique<ModelStager>(
         "m", settings_, charts().staging, *engine_, *origin_, *links_, *metrics_,
@@ -56,7 +56,7 @@
     stager_->on_version_named(kSecond);
   }
 
-  /// One turn of the agent's loop.
+  /// One iteration of the agent's loop.
   void step() {
     g_main_context_iteration(nullptr, FALSE);
     engine_->deliver();
@@ -71,7 +71,7 @@
     while (loop_now() < end) step();
   }
 
-  /// @return whether the condition came true, within a generous limit.
+  /// @return whether the condition became true before the time-out.
   template <class Condition>
   bool run_until(Condition condition) {
     constexpr Duration kTimeout = seconds(20);
@@ -82,13 +82,14 @@
 
   void assert_only_complete_versions_activated() const {
     for (const auto& activation : engine_->activations()) {
-      CPPUNIT_ASSERT_MESSAGE("version " + std::to_string(activation.version) + " was taken in part",
-                             activation.complete(kChunks));
+      CPPUNIT_ASSERT_MESSAGE(
+          "version " + std::to_string(activation.version) + " was activated incomplete",
+          activation.complete(kChunks));
     }
   }
 
   HostSettings settings_;
-  bool prompts_waiting_ = false;  ///< Requests that gateways sent have not begun.
+  bool prompts_waiting_ = false;  ///< Requests that gateways sent have not begun yet.
   std::unique_ptr<ScriptedEngine> engine_;
   std::unique_ptr<ScriptedOrigin> origin_;
   std::unique_ptr<Metrics> metrics_;
