--- a/src/host/download/chunk_uploads.h
+++ b/src/host/download/chunk_uploads.h
@@ -20,37 +20,37 @@
 class ChunkUploads {
  public:
   /// A peer asked for a chunk.
-  void on_asked(PeerChunk upload, TimePoint now) { asked_.emplace(upload, now); }
+  void on_requested(PeerChunk upload, TimePoint now) { requested_at_.emplace(upload, now); }
   /// It needs the chunk no more, or was refused.
-  void on_declined(PeerChunk upload) { asked_.erase(upload); }
+  void on_request_dropped(PeerChunk upload) { requested_at_.erase(upload); }
 
-  struct Begun {
-    TimePoint asked_at{};  ///< Zero when that is not known.
+  struct Started {
+    TimePoint requested_at{};  ///< Zero when that is not known.
   };
   /// The chunk's turn came.
   /// @return nothing when it is on its way to that peer already.
-  std::optional<Begun> begin(PeerChunk upload, TimePoint now);
+  std::optional<Started> start(PeerChunk upload, TimePoint now);
   /// The link took it from the pacer.
-  void on_link_took(PeerChunk upload, TimePoint now);
+  void on_transmission_started(PeerChunk upload, TimePoint now);
   /// It was acknowledged, or given up.
   /// @return how long it was on the link; nothing when it was not under way.
-  std::optional<Duration> end(PeerChunk upload, TimePoint now);
+  std::optional<Duration> finish(PeerChunk upload, TimePoint now);
 
   /// Uploads under way to a peer that is lost; its requests are forgotten.
-  std::vector<PeerChunk> lose(PeerId peer);
+  std::vector<PeerChunk> on_peer_lost(PeerId peer);
   /// Uploads that were not acknowledged for so long that they no longer hold their slots.
   std::vector<PeerChunk> expired(TimePoint now) const;
   /// How long the oldest has been on the link; zero when there is none.
-  Duration oldest_on_link(TimePoint now) const;
+  Duration oldest_transmission_age(TimePoint now) const;
 
  private:
   struct Upload {
-    TimePoint begun{};
-    std::optional<TimePoint> on_link;  ///< Since when the uplink has had it.
+    TimePoint started_at{};
+    std::optional<TimePoint> transmitting_since;  ///< Since when the uplink has had it.
   };
 
-  std::map<PeerChunk, TimePoint> asked_;
-  std::map<PeerChunk, Upload> under_way_;
+  std::map<PeerChunk, TimePoint> requested_at_;
+  std::map<PeerChunk, Upload> in_flight_;
 };
 
 }  // namespace pumicemast
--- a/src/host/download/download_tuning.cpp
+++ b/src/host/download/download_tuning.cpp
@@ -10,20 +10,20 @@
 constexpr Duration kAnnounceInterval = milliseconds(15);
 constexpr Duration kLagCheckInterval = milliseconds(100);
 /// An agent that is behind with its chunks, as after a restart, has more than one on the way.
-constexpr std::uint32_t kWidestOriginWindow = 2;
+constexpr std::uint32_t kMaximumOriginWindow = 2;
 /// Share of the origin's connections that chunks may take; manifests need some too.
-constexpr double kOriginConnectionShare = 0.9;
+constexpr double kOriginConnectionFraction = 0.9;
 constexpr Duration kOriginProbeInterval = milliseconds(500);
 constexpr Duration kSourcePause = milliseconds(200);
 /// After a refusal or a failure the origin is asked again after half to one and a half times this,
 /// drawn anew each time. Not growing: once the origin is back, the last of its chunks' owners to
 /// notice sets the pace.
-constexpr Duration kOriginRetry = milliseconds(300);
+constexpr Duration kOriginRetryDelay = milliseconds(300);
 
 std::uint32_t origin_window(std::uint32_t connections, std::size_t agents) {
-  const double share =
-      connections * kOriginConnectionShare / static_cast<double>(std::max<std::size_t>(1, agents));
-  return std::clamp(static_cast<std::uint32_t>(share), 1U, kWidestOriginWindow);
+  const double share = connections * kOriginConnectionFraction /
+                       static_cast<double>(std::max<std::size_t>(1, agents));
+  return std::clamp(static_cast<std::uint32_t>(share), 1U, kMaximumOriginWindow);
 }
 
 }  // namespace
@@ -51,10 +51,10 @@
   return options;
 }
 
-Duration origin_pause(PeerId self, std::uint32_t failures) {
-  const std::uint64_t own = stable_hash(self, std::uint64_t{failures});
-  const auto spread = static_cast<std::uint64_t>(kOriginRetry.count());
-  return kOriginRetry / 2 + Duration(static_cast<Duration::rep>(own % spread));
+Duration origin_retry_delay(PeerId self, std::uint32_t failures) {
+  const std::uint64_t hash = stable_hash(self, std::uint64_t{failures});
+  const auto jitter_range = static_cast<std::uint64_t>(kOriginRetryDelay.count());
+  return kOriginRetryDelay / 2 + Duration(static_cast<Duration::rep>(hash % jitter_range));
 }
 
 }  // namespace pumicemast
--- a/src/host/download/download_tuning.h
+++ b/src/host/download/download_tuning.h
@@ -20,6 +20,6 @@
 
 /// How long an agent leaves the origin alone after `failures` in a row, this one included: spread
 /// so that agents that were refused together do not come back together.
-Duration origin_pause(PeerId self, std::uint32_t failures);
+Duration origin_retry_delay(PeerId self, std::uint32_t failures);
 
 }  // namespace pumicemast
--- /dev/null
+++ b/src/host/download/origin_request_schedule.h
@@ -0,0 +1,58 @@
+/// When an agent asks the origin for a manifest that no other agent has given it yet.
+///
+/// A decision core: no I/O. The origin's link is narrow, and a manifest that one agent has reaches
+/// the others within a moment. So two agents ask at once and the others one after the other; while
+/// the origin fails, few ask often and many rarely. Guards against two losses: all agents' calls at
+/// once take the origin's link for as long as a copy of the weights, and pauses that grow while the
+/// origin is away go on after its return.
+#pragma once
+
+#include <algorithm>
+#include <cstdint>
+
+#include "common/time.h"
+
+namespace pumicemast {
+
+class OriginRequestSchedule {
+ public:
+  void begin(TimePoint now) {
+    waiting_since_ = now;
+    in_flight_ = false;
+    failed_ = false;
+  }
+  /// @param rank  how many agents come before this one.
+  bool due(std::uint32_t rank, TimePoint now) const {
+    return !in_flight_ &&
+           now - waiting_since_ >= (failed_ ? retry_delay(rank) : first_request_delay(rank));
+  }
+  void on_request_sent() { in_flight_ = true; }
+  /// The origin gave nothing.
+  void on_failed(TimePoint now) {
+    waiting_since_ = now;
+    in_flight_ = false;
+    failed_ = true;
+  }
+
+ private:
+  static constexpr std::uint32_t kImmediateRanks = 2;
+  static constexpr Duration kFirstRequestDelay = milliseconds(250);
+  static constexpr Duration kFirstRequestDelayPerRank = milliseconds(40);
+  static constexpr Duration kRetryDelay = milliseconds(150);
+  static constexpr Duration kRetryDelayPerRank = milliseconds(100);
+  static constexpr Duration kMaximumDelay = seconds(3);
+
+  static Duration first_request_delay(std::uint32_t rank) {
+    if (rank < kImmediateRanks) return Duration::zero();
+    return std::min<Duration>(kMaximumDelay, kFirstRequestDelay + kFirstRequestDelayPerRank * rank);
+  }
+  static Duration retry_delay(std::uint32_t rank) {
+    return std::min<Duration>(kMaximumDelay, kRetryDelay + kRetryDelayPerRank * rank);
+  }
+
+  bool in_flight_ = false;
+  bool failed_ = false;
+  TimePoint waiting_since_{};  ///< The beginning, or the last failure.
+};
+
+}  // namespace pumicemast
--- a/src/host/download/manifest_seeker.cpp
+++ b/src/host/download/swarm_manifest_fetcher.cpp
@@ -1,4 +1,4 @@
-#include "host/download/manifest_seeker.h"
+#include "host/download/swarm_manifest_fetcher.h"
 
 #include <algorithm>
 
@@ -7,51 +7,51 @@
 namespace pumicemast {
 namespace {
 
-constexpr Duration kAskInterval = milliseconds(150);
-constexpr std::size_t kPeersAsked = 2;
+constexpr Duration kPeerRequestInterval = milliseconds(150);
+constexpr std::size_t kPeersPerRound = 2;
 
 }  // namespace
 
-ManifestSeeker::ManifestSeeker(std::string model, PeerId self, WeightOrigin& origin,
-                               PeerLinks& links, OnFound on_found)
+SwarmManifestFetcher::SwarmManifestFetcher(std::string model, PeerId self, WeightOrigin& origin,
+                                           PeerLinks& links, OnFound on_found)
     : model_(std::move(model)),
       self_(self),
       origin_(origin),
       links_(links),
       on_found_(std::move(on_found)) {}
 
-void ManifestSeeker::begin(std::uint64_t version, TimePoint now) {
+void SwarmManifestFetcher::begin(std::uint64_t version, TimePoint now) {
   version_ = version;
   ++generation_;
-  seeking_ = true;
-  origin_asking_.begin(now);
-  next_ask_ = now;
+  fetching_ = true;
+  origin_schedule_.begin(now);
+  next_peer_request_ = now;
 }
 
-void ManifestSeeker::on_tick(TimePoint now) {
-  if (!seeking_) return;
-  if (origin_asking_.due(rank(), now)) ask_origin();
-  if (now < next_ask_) return;
-  next_ask_ = now + kAskInterval;
-  ask_peers(now);
+void SwarmManifestFetcher::on_tick(TimePoint now) {
+  if (!fetching_) return;
+  if (origin_schedule_.due(rank(), now)) request_from_origin();
+  if (now < next_peer_request_) return;
+  next_peer_request_ = now + kPeerRequestInterval;
+  request_from_peers(now);
 }
 
-void ManifestSeeker::ask_peers(TimePoint now) {
+void SwarmManifestFetcher::request_from_peers(TimePoint now) {
   wire::ManifestRequestT request;
   request.model = model_;
   request.least_version = version_;
   const auto salt = static_cast<std::uint64_t>(now.time_since_epoch().count());
-  std::size_t asked = 0;
+  std::size_t requested = 0;
   for (const PeerId peer : peers_) {
     // Others each time, without keeping whom.
     const bool chosen = peer != self_ && (stable_hash(peer, salt) & 1U) == 0;
     if (!chosen) continue;
     links_.send(peer, request);
-    if (++asked >= kPeersAsked) return;
+    if (++requested >= kPeersPerRound) return;
   }
 }
 
-std::uint32_t ManifestSeeker::rank() const {
+std::uint32_t SwarmManifestFetcher::rank() const {
   const std::uint64_t own = stable_hash(self_, version_);
   const auto before = std::count_if(peers_.begin(), peers_.end(), [&](PeerId peer) {
     return peer != self_ && stable_hash(peer, version_) < own;
@@ -59,15 +59,15 @@
   return static_cast<std::uint32_t>(before);
 }
 
-void ManifestSeeker::ask_origin() {
-  origin_asking_.on_asked();
+void SwarmManifestFetcher::request_from_origin() {
+  origin_schedule_.on_request_sent();
   const std::weak_ptr<bool> alive = alive_;
   const auto on_answer = [this, alive,
                           generation = generation_](std::optional<WeightManifest> manifest) {
     if (alive.expired() || generation != generation_) return;
     if (!manifest) {
-      origin_asking_.on_failed(loop_now());
-    } else if (seeking_) {
+      origin_schedule_.on_failed(loop_now());
+    } else if (fetching_) {
       on_found_(std::move(*manifest), "origin");
     }
   };
--- a/src/host/download/version_download.cpp
+++ b/src/host/download/version_download.cpp
@@ -14,9 +14,9 @@
 /// and the rest ask. To all others one agent alone would send for a second.
 constexpr std::size_t kManifestFanOut = 6;
 /// Neighbours have told what they hold so long after a connection was begun.
-constexpr Duration kLateDrawDelay = milliseconds(80);
+constexpr Duration kLateJoinDelay = milliseconds(80);
 /// With less of a version here, when it will be complete is a guess.
-constexpr double kForeseeableShare = 0.4;
+constexpr double kMinimumEstimateProgress = 0.4;
 
 }  // namespace
 
@@ -30,11 +30,11 @@
       joins_late_(joins_late),
       context_(context),
       self_(staging_peer_id(context.settings.internal_address)),
-      seeker_(model_, self_, context.origin, context.links,
-              [this](WeightManifest manifest, const char* source) {
-                take_manifest(std::move(manifest), source);
-              }) {
-  seeker_.begin(version_, loop_now());
+      manifest_fetcher_(model_, self_, context.origin, context.links,
+                        [this](WeightManifest manifest, const char* source) {
+                          accept_manifest(std::move(manifest), source);
+                        }) {
+  manifest_fetcher_.begin(version_, loop_now());
 }
 
 std::string VersionDownload::key() const { return model_ + "@" + std::to_string(version_); }
@@ -46,7 +46,7 @@
 
 std::optional<TimePoint> VersionDownload::expected_completion(TimePoint now) const {
   const double done = progress();
-  if (done < kForeseeableShare) return std::nullopt;
+  if (done < kMinimumEstimateProgress) return std::nullopt;
   const double elapsed = static_cast<double>((now - transfer_begun_).count());
   return now + Duration(static_cast<Duration::rep>(elapsed * (1 - done) / done));
 }
@@ -65,21 +65,21 @@
   if (manifest_) context_.links.send(peer, encode_manifest(*manifest_));
 }
 
-void VersionDownload::take_manifest(WeightManifest manifest, const char* source) {
+void VersionDownload::accept_manifest(WeightManifest manifest, const char* source) {
   const bool wanted = version_ == 0 || manifest.version == version_;
   if (manifest_ || manifest.hashes.empty() || !wanted) return;
   version_ = manifest.version;
   manifest_ = std::move(manifest);
-  manifest_at_ = loop_now();
-  seeker_.stop();
+  manifest_received_at_ = loop_now();
+  manifest_fetcher_.stop();
   chunks_.assign(manifest_->hashes.size(), nullptr);
   context_.log_line("manifest",
                     "manifest model=" + model_ + " version=" + std::to_string(version_) +
                         " chunks=" + std::to_string(chunks_.size()) + " source=" + source);
-  pass_manifest_on();
+  forward_manifest();
 }
 
-void VersionDownload::pass_manifest_on() {
+void VersionDownload::forward_manifest() {
   std::vector<PeerId> others;
   for (const StagingPeer& peer : peers_) {
     const PeerId id = staging_peer_id(peer.address);
@@ -110,9 +110,9 @@
   transfer_begun_ = loop_now();
   SwarmOptions options =
       download_options(self_, version_, peers_.size(), context_.origin.connection_limit());
-  options.window = context_.download_gauge.window(Duration::zero());
-  options.upload_slots = context_.upload_gauge.window(Duration::zero());
-  if (joins_late_) options.draw_delay = kLateDrawDelay;
+  options.window = context_.download_window.limit(Duration::zero());
+  options.upload_slots = context_.upload_window.limit(Duration::zero());
+  if (joins_late_) options.draw_delay = kLateJoinDelay;
   swarm_ = std::make_unique<Swarm>(options, std::move(have));
   SwarmActions actions;
   const auto joins = std::move(early_joins_);
@@ -122,16 +122,16 @@
     swarm_->on_peer_joined(peer, ChunkSet::from_bytes(count, bitmap.data(), bitmap.size()),
                            loop_now(), actions);
   }
-  carry_out(actions);
+  execute_actions(actions);
   apply_membership();
 }
 
 void VersionDownload::stop_fetching() {
-  seeker_.stop();
+  manifest_fetcher_.stop();
   if (!swarm_) return;
   SwarmActions actions;
   swarm_->set_paused(true, loop_now(), actions);
-  carry_out(actions);
+  execute_actions(actions);
 }
 
 void VersionDownload::set_peers(const std::set<StagingPeer>& peers) {
@@ -139,7 +139,7 @@
   std::vector<PeerId> ids;
   ids.reserve(peers_.size());
   for (const StagingPeer& peer : peers_) ids.push_back(staging_peer_id(peer.address));
-  seeker_.set_peers(std::move(ids));
+  manifest_fetcher_.set_peers(std::move(ids));
   if (swarm_) apply_membership();
 }
 
@@ -159,37 +159,40 @@
       std::make_shared<SwarmMembership>(std::move(participants), stable_hash(key()),
                                         static_cast<ChunkIndex>(chunks_.size())),
       loop_now(), actions);
-  carry_out(actions);
+  execute_actions(actions);
 }
 
 void VersionDownload::on_tick(TimePoint now) {
-  seeker_.on_tick(now);
+  manifest_fetcher_.on_tick(now);
   if (!swarm_) return;
-  const std::uint32_t window = context_.download_gauge.window(silence_age(now));
-  const std::uint32_t slots = context_.upload_gauge.window(uploads_.oldest_on_link(now));
-  swarm_->set_limits(std::max(1U, window / sharers_), std::max(1U, slots / sharers_));
+  const std::uint32_t window = context_.download_window.limit(receive_stall(now));
+  const std::uint32_t slots = context_.upload_window.limit(uploads_.oldest_transmission_age(now));
+  swarm_->set_limits(std::max(1U, window / concurrent_downloads_),
+                     std::max(1U, slots / concurrent_downloads_));
   SwarmActions actions;
   swarm_->on_tick(now, actions);
-  carry_out(actions);
+  execute_actions(actions);
   for (const PeerChunk& upload : uploads_.expired(now)) on_upload_ended(upload);
 }
 
-void VersionDownload::carry_out(const SwarmActions& actions) {
+void VersionDownload::execute_actions(const SwarmActions& actions) {
   for (const SwarmAction& action : actions) {
-    std::visit([this](const auto& typed) { act(typed); }, action);
+    std::visit([this](const auto& typed) { execute(typed); }, action);
   }
 }
 
-void VersionDownload::act(const RequestFromPeer& action) {
+void VersionDownload::execute(const RequestFromPeer& action) {
   requested_[action.chunk] = loop_now();
   // Whose turn comes first is served first: agents then complete in the order of their turns,
   // and the fleet does not change over all at once.
-  context_.messages.send(key(), RequestFromPeer{action.peer, action.chunk, urgency_});
+  context_.messages.send(key(), RequestFromPeer{action.peer, action.chunk, request_rank_});
 }
 
-void VersionDownload::act(const CancelFromPeer& action) { context_.messages.send(key(), action); }
+void VersionDownload::execute(const CancelFromPeer& action) {
+  context_.messages.send(key(), action);
+}
 
-void VersionDownload::act(const RequestFromOrigin& action) {
+void VersionDownload::execute(const RequestFromOrigin& action) {
   const ChunkIndex chunk = action.chunk;
   const std::weak_ptr<bool> alive = alive_;
   context_.origin.fetch_chunk(
@@ -199,26 +202,27 @@
           origin_failures_ = 0;
           context_.metrics.count("pumicemast_host_origin_bytes_total", {},
                                  static_cast<double>(bytes->size()));
-          take_in(std::nullopt, chunk, std::move(*bytes));
+          accept_chunk(std::nullopt, chunk, std::move(*bytes));
           return;
         }
         context_.metrics.count("pumicemast_host_origin_failures_total");
         SwarmActions actions;
-        swarm_->on_origin_failed(chunk, origin_pause(self_, ++origin_failures_), loop_now(),
+        swarm_->on_origin_failed(chunk, origin_retry_delay(self_, ++origin_failures_), loop_now(),
                                  actions);
-        carry_out(actions);
+        execute_actions(actions);
       });
 }
 
-void VersionDownload::act(const CancelFromOrigin& action) {
+void VersionDownload::execute(const CancelFromOrigin& action) {
   // What a neighbour has by now need not take the origin's link.
   context_.origin.cancel_chunk(model_, version_, action.chunk);
 }
 
-void VersionDownload::act(const SendChunk& action) {
+void VersionDownload::execute(const SendChunk& action) {
   const bool held = action.chunk < chunks_.size() && chunks_[action.chunk];
-  const auto begun = held ? uploads_.begin({action.peer, action.chunk}, loop_now()) : std::nullopt;
-  if (!begun) {
+  const auto started =
+      held ? uploads_.start({action.peer, action.chunk}, loop_now()) : std::nullopt;
+  if (!started) {
     // Not here, or asked for again while it is on its way: the slot is not needed.
     free_upload_slot();
     return;
@@ -226,32 +230,35 @@
   // An older version is nearer to its bound than the one after it.
   const int priority = -static_cast<int>(version_);
   context_.uplink.push(
-      {key(), action.peer, action.chunk, chunks_[action.chunk], priority, begun->asked_at});
+      {key(), action.peer, action.chunk, chunks_[action.chunk], priority, started->requested_at});
 }
 
-void VersionDownload::act(const RefuseChunk& action) {
-  uploads_.on_declined({action.peer, action.chunk});
+void VersionDownload::execute(const RefuseChunk& action) {
+  uploads_.on_request_dropped({action.peer, action.chunk});
   context_.messages.send(key(), action);
 }
 
-void VersionDownload::act(const AnnounceChunks& action) { context_.messages.send(key(), action); }
+void VersionDownload::execute(const AnnounceChunks& action) {
+  context_.messages.send(key(), action);
+}
 
 void VersionDownload::send_join(PeerId peer, bool reply) {
   context_.messages.send_join(key(), peer, swarm_->have(), reply);
 }
 
-void VersionDownload::act(const SwarmComplete&) {
+void VersionDownload::execute(const SwarmComplete&) {
   context_.log_line("weights", "weights model=" + model_ + " version=" + std::to_string(version_) +
                                    " state=COMPLETE took_ms=" +
                                    std::to_string(to_milliseconds(loop_now() - named_at_)));
 }
 
-void VersionDownload::act(const PeerAvoided& action) {
+void VersionDownload::execute(const PeerAvoided& action) {
   context_.log_line(
       "peer", "peer id=" + std::to_string(action.peer) + " state=AVOIDED reason=corrupt_chunks");
 }
 
-void VersionDownload::take_in(std::optional<PeerId> source, ChunkIndex chunk, std::string bytes) {
+void VersionDownload::accept_chunk(std::optional<PeerId> source, ChunkIndex chunk,
+                                   std::string bytes) {
   if (!swarm_ || chunk >= chunks_.size()) return;
   const char* source_name = source ? "peer" : "origin";
   const bool intact = sha256(bytes) == manifest_->hashes[chunk];
@@ -264,7 +271,7 @@
   SwarmActions actions;
   swarm_->on_chunk(source, chunk, intact ? ChunkArrival::verified : ChunkArrival::corrupt,
                    loop_now(), actions);
-  carry_out(actions);
+  execute_actions(actions);
 }
 
 // ---- uploads ----
@@ -272,21 +279,22 @@
 void VersionDownload::free_upload_slot() {
   SwarmActions actions;
   swarm_->on_sent(loop_now(), actions);
-  carry_out(actions);
+  execute_actions(actions);
 }
 
 void VersionDownload::on_upload_ended(PeerChunk upload) {
-  const auto on_link = uploads_.end(upload, loop_now());
-  if (!on_link) return;
-  context_.upload_gauge.on_exchange(*on_link);
+  const auto transmission_time = uploads_.finish(upload, loop_now());
+  if (!transmission_time) return;
+  context_.upload_window.on_completed(*transmission_time);
   free_upload_slot();
 }
 
-void VersionDownload::on_link_took(const ChunkUpload& upload) {
-  if (upload.digest == key()) uploads_.on_link_took({upload.peer, upload.chunk}, loop_now());
+void VersionDownload::on_transmission_started(const ChunkUpload& upload) {
+  if (upload.digest == key())
+    uploads_.on_transmission_started({upload.peer, upload.chunk}, loop_now());
 }
 
-Duration VersionDownload::silence_age(TimePoint now) const {
+Duration VersionDownload::receive_stall(TimePoint now) const {
   Duration oldest = Duration::zero();
   for (const auto& [chunk, since] : requested_) {
     oldest = std::max(oldest, now - std::max(since, last_arrival_));
@@ -296,10 +304,10 @@
 
 void VersionDownload::on_peer_lost(PeerId peer) {
   if (!swarm_) return;
-  for (const PeerChunk& upload : uploads_.lose(peer)) on_upload_ended(upload);
+  for (const PeerChunk& upload : uploads_.on_peer_lost(peer)) on_upload_ended(upload);
   SwarmActions actions;
   swarm_->on_peer_lost(peer, loop_now(), actions);
-  carry_out(actions);
+  execute_actions(actions);
 }
 
 // ---- frames ----
@@ -315,7 +323,7 @@
   swarm_->on_peer_joined(peer, ChunkSet::from_bytes(count, bitmap.data(), bitmap.size()),
                          loop_now(), actions);
   if (!join.reply()) send_join(peer, true);
-  carry_out(actions);
+  execute_actions(actions);
 }
 
 void VersionDownload::on_chunk_data(PeerId peer, const wire::ChunkData& data) {
@@ -329,12 +337,13 @@
   if (requested != requested_.end()) {
     // What the sender held it for says nothing about this link.
     const Duration took = now - requested->second - std::chrono::microseconds(data.held_us());
-    context_.download_gauge.on_exchange(std::max(Duration::zero(), took));
+    context_.download_window.on_completed(std::max(Duration::zero(), took));
     requested_.erase(requested);
   }
   last_arrival_ = now;
-  take_in(peer, data.chunk(),
-          std::string(reinterpret_cast<const char*>(data.bytes()->data()), data.bytes()->size()));
+  accept_chunk(
+      peer, data.chunk(),
+      std::string(reinterpret_cast<const char*>(data.bytes()->data()), data.bytes()->size()));
 }
 
 bool VersionDownload::on_frame(PeerId peer, const wire::Frame& frame) {
@@ -352,10 +361,10 @@
       return true;
     case wire::Body::ChunkRequest:
       if (!swarm_) return false;  // Who asks is refused.
-      uploads_.on_asked({peer, frame.body_as_ChunkRequest()->chunk()}, loop_now());
+      uploads_.on_requested({peer, frame.body_as_ChunkRequest()->chunk()}, loop_now());
       break;
     case wire::Body::ChunkCancel:
-      uploads_.on_declined({peer, frame.body_as_ChunkCancel()->chunk()});
+      uploads_.on_request_dropped({peer, frame.body_as_ChunkCancel()->chunk()});
       break;
     default:
       break;
@@ -363,7 +372,7 @@
   if (!swarm_) return true;
   SwarmActions actions;
   apply_swarm_frame(*swarm_, peer, frame, loop_now(), actions);
-  carry_out(actions);
+  execute_actions(actions);
   return true;
 }
 
--- a/src/host/download/version_download.h
+++ b/src/host/download/version_download.h
@@ -14,8 +14,8 @@
 
 #include "common/metrics.h"
 #include "host/download/chunk_uploads.h"
-#include "host/download/link_gauge.h"
-#include "host/download/manifest_seeker.h"
+#include "host/download/link_window.h"
+#include "host/download/swarm_manifest_fetcher.h"
 #include "host/engine_control.h"
 #include "host/host_settings.h"
 #include "swarm/swarm.h"
@@ -44,8 +44,8 @@
   SwarmMessages messages;
   UplinkPacer& uplink;
   Metrics& metrics;
-  LinkGauge upload_gauge;
-  LinkGauge download_gauge;
+  LinkWindow upload_window;
+  LinkWindow download_window;
   /// A decision worth a line.
   std::function<void(const std::string& kind, const std::string& line)> log_line;
 };
@@ -68,9 +68,11 @@
   bool transferring() const { return swarm_ != nullptr; }
   void set_peers(const std::set<StagingPeer>& peers);
   /// Position of this agent among those that ask for chunks: the lowest is served first.
-  void set_urgency(std::uint32_t urgency) { urgency_ = urgency; }
+  void set_request_rank(std::uint32_t request_rank) { request_rank_ = request_rank; }
   /// Share of the links that this download may use, as a number of versions under way.
-  void set_sharers(std::uint32_t sharers) { sharers_ = sharers; }
+  void set_concurrent_downloads(std::uint32_t concurrent_downloads) {
+    concurrent_downloads_ = concurrent_downloads;
+  }
   /// Call every few hundredths of a second.
   void on_tick(TimePoint now);
 
@@ -78,15 +80,15 @@
   /// @return whether the frame was of this version.
   bool on_frame(PeerId peer, const wire::Frame& frame);
   void on_manifest_request(PeerId peer);
-  void take_manifest(WeightManifest manifest, const char* source);
+  void accept_manifest(WeightManifest manifest, const char* source);
   void on_peer_lost(PeerId peer);
   /// The uplink took a chunk. Uploads of other versions are left alone.
-  void on_link_took(const ChunkUpload& upload);
+  void on_transmission_started(const ChunkUpload& upload);
 
   std::uint64_t version() const { return version_; }
   TimePoint named_at() const { return named_at_; }
   const std::optional<WeightManifest>& manifest() const { return manifest_; }
-  TimePoint manifest_at() const { return manifest_at_; }
+  TimePoint manifest_received_at() const { return manifest_received_at_; }
   const std::vector<Bytes>& chunks() const { return chunks_; }
   bool complete() const { return swarm_ && swarm_->complete(); }
   /// Share of the chunks that are here, 0 to 1.
@@ -98,27 +100,27 @@
 
  private:
   std::string key() const;
-  void pass_manifest_on();
+  void forward_manifest();
   void apply_membership();
   void on_join(PeerId peer, const wire::SwarmJoin& join);
   void on_chunk_data(PeerId peer, const wire::ChunkData& data);
   void send_join(PeerId peer, bool reply);
-  void take_in(std::optional<PeerId> source, ChunkIndex chunk, std::string bytes);
+  void accept_chunk(std::optional<PeerId> source, ChunkIndex chunk, std::string bytes);
 
-  void carry_out(const SwarmActions& actions);
-  void act(const RequestFromPeer& action);
-  void act(const CancelFromPeer& action);
-  void act(const RequestFromOrigin& action);
-  void act(const CancelFromOrigin& action);
-  void act(const SendChunk& action);
-  void act(const RefuseChunk& action);
-  void act(const AnnounceChunks& action);
-  void act(const JoinPeer& action) { send_join(action.peer, false); }
-  void act(const SwarmComplete& action);
-  void act(const PeerAvoided& action);
+  void execute_actions(const SwarmActions& actions);
+  void execute(const RequestFromPeer& action);
+  void execute(const CancelFromPeer& action);
+  void execute(const RequestFromOrigin& action);
+  void execute(const CancelFromOrigin& action);
+  void execute(const SendChunk& action);
+  void execute(const RefuseChunk& action);
+  void execute(const AnnounceChunks& action);
+  void execute(const JoinPeer& action) { send_join(action.peer, false); }
+  void execute(const SwarmComplete& action);
+  void execute(const PeerAvoided& action);
   void on_upload_ended(PeerChunk upload);
   /// How long nothing has arrived though something is asked for.
-  Duration silence_age(TimePoint now) const;
+  Duration receive_stall(TimePoint now) const;
   void free_upload_slot();
 
   std::string model_;
@@ -127,17 +129,17 @@
   bool joins_late_;
   DownloadContext& context_;
   PeerId self_;
-  ManifestSeeker seeker_;
+  SwarmManifestFetcher manifest_fetcher_;
   std::set<StagingPeer> peers_;
   std::optional<WeightManifest> manifest_;
-  TimePoint manifest_at_{};
+  TimePoint manifest_received_at_{};
   std::vector<Bytes> chunks_;
   std::unique_ptr<Swarm> swarm_;
   TimePoint transfer_begun_{};
   std::map<PeerId, std::vector<std::uint8_t>> early_joins_;
   std::uint32_t origin_failures_ = 0;  ///< In a row.
-  std::uint32_t urgency_ = 0;
-  std::uint32_t sharers_ = 1;
+  std::uint32_t request_rank_ = 0;
+  std::uint32_t concurrent_downloads_ = 1;
   ChunkUploads uploads_;
   /// Chunks asked for here, and since when.
   std::map<ChunkIndex, TimePoint> requested_;
--- a/src/host/staging/model_stager.cpp
+++ b/src/host/staging/model_stager.cpp
@@ -45,19 +45,19 @@
       engine_(engine),
       self_(staging_peer_id(settings.internal_address)),
       callbacks_(std::move(callbacks)),
-      uplink_(
-          settings.uplink_bytes_per_second, links, metrics,
-          [this](const ChunkUpload& upload) {
-            for_each_download([&](VersionDownload& download) { download.on_link_took(upload); });
-          }),
+      uplink_(settings.uplink_bytes_per_second, links, metrics,
+              [this](const ChunkUpload& upload) {
+                for_each_download(
+                    [&](VersionDownload& download) { download.on_transmission_started(upload); });
+              }),
       context_{settings,
                origin,
                links,
                SwarmMessages(links),
                uplink_,
                metrics,
-               LinkGauge(kUploadSlots),
-               LinkGauge(kChunkWindow),
+               LinkWindow(kUploadSlots),
+               LinkWindow(kChunkWindow),
                callbacks_.log_line},
       engine_stager_(model_, chart, engine, metrics,
                      {callbacks_.on_leaving, callbacks_.prompts_waiting,
@@ -195,7 +195,7 @@
     if (!download.manifest() || download.transferring()) return;
     // Chunks that the engine already holds need not be fetched. But the engine may not respond, and
     // peers may need the chunks that this agent would fetch.
-    if (!inventory_.complete() && now - download.manifest_at() < kInventoryTimeout) return;
+    if (!inventory_.complete() && now - download.manifest_received_at() < kInventoryTimeout) return;
     download.begin_transfer(all_known_bytes());
   });
 }
@@ -236,22 +236,22 @@
   if (!inventory_.marker_manifest()) return;
   recovery_.on_marker_found();
   for_each_download([&](VersionDownload& download) {
-    download.take_manifest(*inventory_.marker_manifest(), "staging");
+    download.accept_manifest(*inventory_.marker_manifest(), "staging");
   });
 }
 
 void ModelStager::fetch_earlier_manifests(TimePoint now) {
   for (const std::uint64_t version :
        recovery_.missing_manifests(current_->version(), serving_version())) {
-    auto& seeker = earlier_fetchers_[version];
-    if (seeker) continue;
-    seeker = std::make_unique<ManifestSeeker>(
+    auto& fetcher = earlier_fetchers_[version];
+    if (fetcher) continue;
+    fetcher = std::make_unique<SwarmManifestFetcher>(
         model_, self_, context_.origin, context_.links,
         [this](const WeightManifest& manifest, const char*) { on_earlier_manifest(manifest); });
-    seeker->set_peers(agents_);
-    seeker->begin(version, now);
+    fetcher->set_peers(agents_);
+    fetcher->begin(version, now);
   }
-  for (const auto& [version, seeker] : earlier_fetchers_) seeker->on_tick(now);
+  for (const auto& [version, fetcher] : earlier_fetchers_) fetcher->on_tick(now);
 }
 
 void ModelStager::on_earlier_manifest(const WeightManifest& manifest) {
@@ -273,7 +273,7 @@
                                      " serving=" + std::to_string(serving_version()));
   if (version == current_->version()) return;
   recovery_download_ = make_download(version, loop_now());
-  recovery_download_->take_manifest(known_manifests_.at(version), "inherited");
+  recovery_download_->accept_manifest(known_manifests_.at(version), "inherited");
   recovery_download_->begin_transfer(inventory_.bytes());
 }
 
@@ -310,10 +310,10 @@
     const auto rank =
         static_cast<std::uint32_t>(changeover_rank(self_, agents_, download.version()));
     // An engine that serves no version goes first.
-    download.set_urgency(load_.weight_version == 0 ? 0 : 1 + rank);
+    download.set_request_rank(load_.weight_version == 0 ? 0 : 1 + rank);
     // While the current version is being completed the next one may use half of each link's window.
     const bool second = &download == next_.get() && !current_->complete();
-    download.set_sharers(second ? 2 : 1);
+    download.set_concurrent_downloads(second ? 2 : 1);
     if (!waiting_for_peers_) download.on_tick(now);
   });
   engine_stager_.on_tick(now);
@@ -362,7 +362,7 @@
   if (document.model()->string_view() != model_) return;
   if (current_->version() != 0) on_version_named(document.version());
   for_each_download([&](VersionDownload& download) {
-    download.take_manifest(decode_manifest(document), "peer");
+    download.accept_manifest(decode_manifest(document), "peer");
   });
   on_earlier_manifest(decode_manifest(document));
 }
--- a/src/host/staging/model_stager.h
+++ b/src/host/staging/model_stager.h
@@ -116,7 +116,8 @@
   /// process that may still be pending.
   StagedInventory inventory_;
   StagingRecovery recovery_;
-  std::map<std::uint64_t, std::unique_ptr<ManifestSeeker>> earlier_fetchers_;  ///< By version.
+  std::map<std::uint64_t, std::unique_ptr<SwarmManifestFetcher>>
+      earlier_fetchers_;  ///< By version.
   /// By version; manifests of the versions that may be staged, until recovery is done.
   std::map<std::uint64_t, WeightManifest> known_manifests_;
   enum class RecoveryState {
--- a/tests/host/host_cores_test.cpp
+++ b/tests/host/host_cores_test.cpp
@@ -2,7 +2,7 @@
 
 #include <set>
 
-#include "host/download/link_gauge.h"
+#include "host/download/link_window.h"
 #include "host/staging/start_schedule.h"
 
 namespace pumicemast {
@@ -14,10 +14,10 @@
   CPPUNIT_TEST(a_late_engine_starts_at_once);
   CPPUNIT_TEST(gateways_get_notice_while_there_is_time);
   CPPUNIT_TEST(an_engine_of_forbidden_weights_does_not_wait_for_its_turn);
-  CPPUNIT_TEST(a_link_is_taken_for_narrow_until_it_is_known);
+  CPPUNIT_TEST(an_unmeasured_link_is_assumed_to_be_narrow);
   CPPUNIT_TEST(a_narrow_link_carries_one_chunk_at_a_time);
   CPPUNIT_TEST(a_link_that_recovers_is_used_again);
-  CPPUNIT_TEST(a_narrow_link_stays_narrow_though_a_single_chunk_passes);
+  CPPUNIT_TEST(a_narrow_link_stays_narrow_when_single_chunks_pass);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -77,36 +77,36 @@
     }
   }
 
-  void a_link_is_taken_for_narrow_until_it_is_known() {
-    LinkGauge gauge(4);
-    CPPUNIT_ASSERT_EQUAL(2U, gauge.window(Duration::zero()));
-    gauge.on_exchange(milliseconds(100));
-    CPPUNIT_ASSERT_EQUAL(4U, gauge.window(Duration::zero()));
+  void an_unmeasured_link_is_assumed_to_be_narrow() {
+    LinkWindow window(4);
+    CPPUNIT_ASSERT_EQUAL(2U, window.limit(Duration::zero()));
+    window.on_completed(milliseconds(100));
+    CPPUNIT_ASSERT_EQUAL(4U, window.limit(Duration::zero()));
   }
 
   void a_narrow_link_carries_one_chunk_at_a_time() {
-    LinkGauge gauge(4);
-    gauge.on_exchange(milliseconds(100));
-    CPPUNIT_ASSERT_EQUAL(1U, gauge.window(milliseconds(700)));  // One has been under way for long.
-    for (int exchange = 0; exchange < 20; ++exchange) gauge.on_exchange(milliseconds(900));
-    CPPUNIT_ASSERT_EQUAL(1U, gauge.window(Duration::zero()));
+    LinkWindow window(4);
+    window.on_completed(milliseconds(100));
+    CPPUNIT_ASSERT_EQUAL(1U, window.limit(milliseconds(700)));  // One has been under way for long.
+    for (int exchange = 0; exchange < 20; ++exchange) window.on_completed(milliseconds(900));
+    CPPUNIT_ASSERT_EQUAL(1U, window.limit(Duration::zero()));
   }
 
   void a_link_that_recovers_is_used_again() {
-    LinkGauge gauge(4);
-    gauge.on_exchange(milliseconds(900));
-    for (int exchange = 0; exchange < 20; ++exchange) gauge.on_exchange(milliseconds(100));
-    CPPUNIT_ASSERT_EQUAL(4U, gauge.window(Duration::zero()));
+    LinkWindow window(4);
+    window.on_completed(milliseconds(900));
+    for (int exchange = 0; exchange < 20; ++exchange) window.on_completed(milliseconds(100));
+    CPPUNIT_ASSERT_EQUAL(4U, window.limit(Duration::zero()));
   }
 
   /// An eighth of the usual rate: a chunk alone takes 215 ms, ten together hold requests up for 2
   /// s.
-  void a_narrow_link_stays_narrow_though_a_single_chunk_passes() {
-    LinkGauge gauge(10);
-    for (int exchange = 0; exchange < 3; ++exchange) gauge.on_exchange(milliseconds(1000));
+  void a_narrow_link_stays_narrow_when_single_chunks_pass() {
+    LinkWindow window(10);
+    for (int exchange = 0; exchange < 3; ++exchange) window.on_completed(milliseconds(1000));
     for (int exchange = 0; exchange < 20; ++exchange) {
-      gauge.on_exchange(milliseconds(215));
-      CPPUNIT_ASSERT_EQUAL(1U, gauge.window(milliseconds(100)));
+      window.on_completed(milliseconds(215));
+      CPPUNIT_ASSERT_EQUAL(1U, window.limit(milliseconds(100)));
     }
   }
 };
--- a/tests/support/origin_outage_world.cpp
+++ b/tests/support/origin_outage_world.cpp
@@ -206,7 +206,7 @@
 void OriginOutageWorld::fail_origin(std::size_t index, ChunkIndex chunk) {
   at(now_ + 2 * kDelay, [this, index, chunk] {
     with(index, [&](Agent& agent, SwarmActions& actions) {
-      const Duration pause = origin_pause(agent.id, ++agent.origin_failures);
+      const Duration pause = origin_retry_delay(agent.id, ++agent.origin_failures);
       agent.swarm->on_origin_failed(chunk, pause, now_, actions);
     });
   });
