--- a/src/host/download/chunk_uploads.cpp
+++ b/src/host/download/chunk_uploads.cpp
@@ -5,7 +5,7 @@
 namespace pumicemast {
 namespace {
 
-/// A chunk that was not acknowledged for so long no longer holds its slot.
+/// A chunk that is not acknowledged within this time no longer occupies an upload slot.
 constexpr Duration kAcknowledgementTimeout = milliseconds(1500);
 
 }  // namespace
--- a/src/host/download/chunk_uploads.h
+++ b/src/host/download/chunk_uploads.h
@@ -1,7 +1,7 @@
-/// Chunks on their way to others, from the request to the acknowledgement.
+/// Tracks chunks that are uploaded to peers, from the request to the acknowledgement.
 ///
-/// A decision core: no I/O. Knows how long each has been on the link, which tells a narrow link
-/// from a chunk that waits for its turn at the pacer.
+/// A decision core: no I/O. Measures how long each chunk has been in transmission, which
+/// distinguishes a slow link from a chunk that waits in the pacer.
 #pragma once
 
 #include <map>
@@ -19,34 +19,35 @@
 
 class ChunkUploads {
  public:
-  /// A peer asked for a chunk.
+  /// A peer requested a chunk.
   void on_requested(PeerChunk upload, TimePoint now) { requested_at_.emplace(upload, now); }
-  /// It needs the chunk no more, or was refused.
+  /// The peer cancelled its request, or the request was refused.
   void on_request_dropped(PeerChunk upload) { requested_at_.erase(upload); }
 
   struct Started {
-    TimePoint requested_at{};  ///< Zero when that is not known.
+    TimePoint requested_at{};  ///< Zero when it is not known.
   };
-  /// The chunk's turn came.
-  /// @return nothing when it is on its way to that peer already.
+  /// The upload gets a slot.
+  /// @return nothing when the chunk is already in flight to that peer.
   std::optional<Started> start(PeerChunk upload, TimePoint now);
-  /// The link took it from the pacer.
+  /// The pacer passed the chunk to the link.
   void on_transmission_started(PeerChunk upload, TimePoint now);
-  /// It was acknowledged, or given up.
-  /// @return how long it was on the link; nothing when it was not under way.
+  /// The upload was acknowledged or abandoned.
+  /// @return how long the chunk was in transmission; nothing when it was not in flight.
   std::optional<Duration> finish(PeerChunk upload, TimePoint now);
 
-  /// Uploads under way to a peer that is lost; its requests are forgotten.
+  /// Drops the requests of a lost peer.
+  /// @return the uploads in flight to it; they remain in flight until finish().
   std::vector<PeerChunk> on_peer_lost(PeerId peer);
-  /// Uploads that were not acknowledged for so long that they no longer hold their slots.
+  /// Uploads that were not acknowledged in time and no longer occupy a slot.
   std::vector<PeerChunk> expired(TimePoint now) const;
-  /// How long the oldest has been on the link; zero when there is none.
+  /// Longest time that a chunk has been in transmission; zero when there is none.
   Duration oldest_transmission_age(TimePoint now) const;
 
  private:
   struct Upload {
     TimePoint started_at{};
-    std::optional<TimePoint> transmitting_since;  ///< Since when the uplink has had it.
+    std::optional<TimePoint> transmitting_since;  ///< When the pacer passed it to the link.
   };
 
   std::map<PeerChunk, TimePoint> requested_at_;
--- a/src/host/download/download_tuning.cpp
+++ b/src/host/download/download_tuning.cpp
@@ -9,15 +9,15 @@
 
 constexpr Duration kAnnounceInterval = milliseconds(15);
 constexpr Duration kLagCheckInterval = milliseconds(100);
-/// An agent that is behind with its chunks, as after a restart, has more than one on the way.
+/// An agent that is behind, as after a restart, may have more than one origin request in flight.
 constexpr std::uint32_t kMaximumOriginWindow = 2;
-/// Share of the origin's connections that chunks may take; manifests need some too.
+/// Fraction of the origin's connections for chunks; manifests need some too.
 constexpr double kOriginConnectionFraction = 0.9;
 constexpr Duration kOriginProbeInterval = milliseconds(500);
 constexpr Duration kSourcePause = milliseconds(200);
-/// After a refusal or a failure the origin is asked again after half to one and a half times this,
-/// drawn anew each time. Not growing: once the origin is back, the last of its chunks' owners to
-/// notice sets the pace.
+/// After a refusal or failure the origin is called again after 0.5 to 1.5 times this delay, with
+/// new jitter each time. The delay does not grow: after the origin's return, the version is
+/// complete only once the last owner of a chunk has called it again.
 constexpr Duration kOriginRetryDelay = milliseconds(300);
 
 std::uint32_t origin_window(std::uint32_t connections, std::size_t agents) {
@@ -40,10 +40,10 @@
   options.source_pause = kSourcePause;
   options.announce_interval = kAnnounceInterval;
   options.initial_request_timeout = seconds(2);
-  // On a narrowed link what was asked for again elsewhere would come twice.
+  // On a slow link a chunk that is requested again from another peer would arrive twice.
   options.minimum_request_timeout = milliseconds(1500);
   options.maximum_request_timeout = seconds(4);
-  // A call that stands still fails by itself; one that is only slow would have to be sent again.
+  // A stalled call fails by itself; a slow one that timed out would have to be sent again.
   options.origin_timeout = seconds(30);
   options.subscription_timeout = seconds(3);
   options.takeover_interval = milliseconds(700);
--- a/src/host/download/download_tuning.h
+++ b/src/host/download/download_tuning.h
@@ -1,4 +1,4 @@
-/// How the swarm core is tuned for an agent beside an engine.
+/// Options of the swarm core for an agent beside an engine.
 #pragma once
 
 #include <cstddef>
@@ -8,18 +8,19 @@
 
 namespace pumicemast {
 
-/// Chunks that may be asked for of neighbours, and on their way to others, at once: links hold no
-/// more without queueing.
+/// Maximum of concurrent chunk requests to peers and of concurrent uploads: with more, chunks queue
+/// on the links.
 constexpr std::uint32_t kChunkWindow = 10;
 constexpr std::uint32_t kUploadSlots = 6;
 
-/// @param agents               that bring the version to their engines.
-/// @param origin_connections   that the origin takes from all of them together.
+/// @param agents              number of agents that stage the version.
+/// @param origin_connections  number of connections that the origin accepts from all agents
+/// together.
 SwarmOptions download_options(PeerId self, std::uint64_t version, std::size_t agents,
                               std::uint32_t origin_connections);
 
-/// How long an agent leaves the origin alone after `failures` in a row, this one included: spread
-/// so that agents that were refused together do not come back together.
+/// Delay before an agent calls the origin again after `failures` consecutive failures. It has
+/// jitter, so that agents that were refused at the same time do not all retry at the same time.
 Duration origin_retry_delay(PeerId self, std::uint32_t failures);
 
 }  // namespace pumicemast
--- a/src/host/download/link_window.h
+++ b/src/host/download/link_window.h
@@ -1,8 +1,8 @@
-/// How much may be under way on a link at once, from how long exchanges on it take.
+/// Limits the number of concurrent exchanges on a link by the time that they take.
 ///
-/// A decision core: no I/O. Weights share their link with the engine's requests and streams.
-/// A link that has become narrow shows by slow exchanges; then less is put on it, so that what
-/// shares it is not held up behind weights.
+/// A decision core: no I/O. Weights share their link with the engine's requests and streams. When
+/// exchanges become slow, fewer are allowed at once, so that weights do not delay the other traffic
+/// on a link that has become narrow.
 #pragma once
 
 #include <algorithm>
@@ -14,16 +14,16 @@
 
 class LinkWindow {
  public:
-  /// @param widest  exchanges at once on a link that is well.
+  /// @param max_exchanges  limit of concurrent exchanges on a fast link.
   explicit LinkWindow(std::uint32_t max_exchanges)
       : max_exchanges_(max_exchanges), allowed_exchanges_(std::max(1U, max_exchanges / 2)) {}
 
-  /// One exchange took so long.
+  /// One exchange completed after `latency`.
   void on_completed(Duration latency) {
     smoothed_latency_ =
         measured_ ? smoothed_latency_ + (latency - smoothed_latency_) / kSmoothing : latency;
     measured_ = true;
-    // On a narrow link one exchange alone may pass soon; several at once would not.
+    // A single exchange may be quick even on a narrow link, but several at once would not.
     if (smoothed_latency_ >= kSlow) {
       allowed_exchanges_ = 1;
     } else if (smoothed_latency_ >= kModerate) {
@@ -32,8 +32,8 @@
       allowed_exchanges_ = std::min(max_exchanges_, allowed_exchanges_ * 2);
     }
   }
-  /// How many exchanges may be open.
-  /// @param oldest  how long the oldest open one has been under way; zero when there is none.
+  /// Number of exchanges that may be in flight.
+  /// @param oldest  age of the oldest exchange in flight; zero when there is none.
   std::uint32_t limit(Duration oldest) const {
     const Duration latency = std::max(smoothed_latency_, oldest);
     if (latency >= kSlow) return 1;
@@ -48,7 +48,7 @@
   static constexpr Duration kSlow = milliseconds(600);
 
   std::uint32_t max_exchanges_;
-  /// Grows by what passes quickly. Before anything was measured the link may be narrow already.
+  /// Doubled by each fast exchange. Starts at half, because the link may be narrow already.
   std::uint32_t allowed_exchanges_;
   Duration smoothed_latency_ = Duration::zero();
   bool measured_ = false;
--- a/src/host/download/manifest_codec.h
+++ b/src/host/download/manifest_codec.h
@@ -1,4 +1,4 @@
-/// Manifests as agents send them to each other.
+/// Converts manifests to and from the message in which agents exchange them.
 #pragma once
 
 #include "generated/wire_generated.h"
--- a/src/host/download/origin_request_schedule.h
+++ b/src/host/download/origin_request_schedule.h
@@ -1,10 +1,10 @@
-/// When an agent asks the origin for a manifest that no other agent has given it yet.
+/// Decides when an agent requests a manifest from the origin that it has not got from a peer yet.
 ///
-/// A decision core: no I/O. The origin's link is narrow, and a manifest that one agent has reaches
-/// the others within a moment. So two agents ask at once and the others one after the other; while
-/// the origin fails, few ask often and many rarely. Guards against two losses: all agents' calls at
-/// once take the origin's link for as long as a copy of the weights, and pauses that grow while the
-/// origin is away go on after its return.
+/// A decision core: no I/O. The origin's link is narrow, and a manifest that one agent has soon
+/// reaches the others. So two agents call the origin at once and the others one after the other;
+/// while the origin fails, few agents retry often and many rarely. Guards against two delays: calls
+/// of all agents at once occupy the origin's link for as long as a copy of the weights, and delays
+/// that grow while the origin is unavailable continue after its return.
 #pragma once
 
 #include <algorithm>
@@ -21,13 +21,13 @@
     in_flight_ = false;
     failed_ = false;
   }
-  /// @param rank  how many agents come before this one.
+  /// @param rank  number of agents that call before this one.
   bool due(std::uint32_t rank, TimePoint now) const {
     return !in_flight_ &&
            now - waiting_since_ >= (failed_ ? retry_delay(rank) : first_request_delay(rank));
   }
   void on_request_sent() { in_flight_ = true; }
-  /// The origin gave nothing.
+  /// The origin refused or failed.
   void on_failed(TimePoint now) {
     waiting_since_ = now;
     in_flight_ = false;
@@ -52,7 +52,7 @@
 
   bool in_flight_ = false;
   bool failed_ = false;
-  TimePoint waiting_since_{};  ///< The beginning, or the last failure.
+  TimePoint waiting_since_{};  ///< The start, or the last failure.
 };
 
 }  // namespace pumicemast
--- a/src/host/download/swarm_manifest_fetcher.cpp
+++ b/src/host/download/swarm_manifest_fetcher.cpp
@@ -43,7 +43,7 @@
   const auto salt = static_cast<std::uint64_t>(now.time_since_epoch().count());
   std::size_t requested = 0;
   for (const PeerId peer : peers_) {
-    // Others each time, without keeping whom.
+    // The salt selects other peers in each round without a record of earlier ones.
     const bool chosen = peer != self_ && (stable_hash(peer, salt) & 1U) == 0;
     if (!chosen) continue;
     links_.send(peer, request);
--- a/src/host/download/swarm_manifest_fetcher.h
+++ b/src/host/download/swarm_manifest_fetcher.h
@@ -1,7 +1,7 @@
-/// Finds out what the wanted version of a model consists of.
+/// Fetches the manifest of a version of a model from other agents or from the origin.
 ///
-/// Manifests come from other agents where they have them, so that the origin's narrow link
-/// sends few copies (host/download/origin_request_schedule.h says who asks it when).
+/// Other agents are preferred, so that the origin sends few copies over its narrow link
+/// (host/download/origin_request_schedule.h decides when an agent calls the origin).
 #pragma once
 
 #include <functional>
@@ -17,23 +17,23 @@
 
 class SwarmManifestFetcher {
  public:
-  /// Called for each manifest that was found; it may be of a newer version than was asked for.
+  /// Called for each manifest that was fetched; it may be of a newer version than requested.
   using OnFound = std::function<void(WeightManifest, const char* source)>;
 
   SwarmManifestFetcher(std::string model, PeerId self, WeightOrigin& origin, PeerLinks& links,
                        OnFound on_found);
 
-  /// Seeks `version` (0: the newest) from now on, and nothing else.
+  /// Fetches the manifest of `version` (0: the newest) instead of any earlier one.
   void begin(std::uint64_t version, TimePoint now);
   void stop() { fetching_ = false; }
   void set_peers(std::vector<PeerId> peers) { peers_ = std::move(peers); }
-  /// Call every few hundredths of a second.
+  /// Must be called every few tens of milliseconds.
   void on_tick(TimePoint now);
 
  private:
   void request_from_peers(TimePoint now);
   void request_from_origin();
-  /// How many agents come before this one at the origin.
+  /// Number of agents that call the origin before this one.
   std::uint32_t rank() const;
 
   std::string model_;
@@ -43,11 +43,11 @@
   OnFound on_found_;
   std::vector<PeerId> peers_;
   std::uint64_t version_ = 0;
-  std::uint64_t generation_ = 0;  ///< Answers to what was asked before are dropped.
+  std::uint64_t generation_ = 0;  ///< Responses to earlier requests are ignored.
   bool fetching_ = false;
   OriginRequestSchedule origin_schedule_;
   TimePoint next_peer_request_{};
-  /// Answers of the origin that come after this object are dropped.
+  /// Expires with this object, so that later responses of the origin are ignored.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/host/download/version_download.cpp
+++ b/src/host/download/version_download.cpp
@@ -10,12 +10,12 @@
 namespace pumicemast {
 namespace {
 
-/// Each agent passes a manifest on to so many others: together they tell nearly all of any number,
-/// and the rest ask. To all others one agent alone would send for a second.
+/// Each agent forwards a manifest to this many others. That reaches nearly all agents of any fleet,
+/// and the rest request it. Sending it to all others would occupy one agent's uplink for a second.
 constexpr std::size_t kManifestFanOut = 6;
-/// Neighbours have told what they hold so long after a connection was begun.
+/// Within this time after connecting, neighbours have announced which chunks they have.
 constexpr Duration kLateJoinDelay = milliseconds(80);
-/// With less of a version here, when it will be complete is a guess.
+/// With less progress than this the time of completion cannot be estimated.
 constexpr double kMinimumEstimateProgress = 0.4;
 
 }  // namespace
@@ -59,7 +59,7 @@
   return known;
 }
 
-// ---- the manifest ----
+// ---- manifest ----
 
 void VersionDownload::on_manifest_request(PeerId peer) {
   if (manifest_) context_.links.send(peer, encode_manifest(*manifest_));
@@ -92,7 +92,7 @@
   for (const PeerId other : others) on_manifest_request(other);
 }
 
-// ---- the swarm ----
+// ---- swarm ----
 
 void VersionDownload::begin_transfer(const KnownBytes& known) {
   if (!manifest_ || swarm_) return;
@@ -148,7 +148,7 @@
     return SwarmParticipant{id, static_cast<std::uint32_t>(stable_hash(region)),
                             static_cast<std::uint32_t>(stable_hash(zone))};
   };
-  // Twice is once: the list may name this agent or not yet.
+  // The list of peers may or may not contain this agent; duplicates have no effect.
   std::vector<SwarmParticipant> participants = {
       participant(self_, context_.settings.region, context_.settings.zone)};
   for (const StagingPeer& peer : peers_) {
@@ -183,8 +183,8 @@
 
 void VersionDownload::execute(const RequestFromPeer& action) {
   requested_[action.chunk] = loop_now();
-  // Whose turn comes first is served first: agents then complete in the order of their turns,
-  // and the fleet does not change over all at once.
+  // The agent whose scheduled start is earliest is served first. Agents then complete in the order
+  // of the schedule, and the fleet does not change over all at once.
   context_.messages.send(key(), RequestFromPeer{action.peer, action.chunk, request_rank_});
 }
 
@@ -214,7 +214,7 @@
 }
 
 void VersionDownload::execute(const CancelFromOrigin& action) {
-  // What a neighbour has by now need not take the origin's link.
+  // A neighbour has the chunk by now; the origin's link is spared.
   context_.origin.cancel_chunk(model_, version_, action.chunk);
 }
 
@@ -223,11 +223,11 @@
   const auto started =
       held ? uploads_.start({action.peer, action.chunk}, loop_now()) : std::nullopt;
   if (!started) {
-    // Not here, or asked for again while it is on its way: the slot is not needed.
+    // The chunk is missing here, or was requested again while in flight: the slot is not needed.
     free_upload_slot();
     return;
   }
-  // An older version is nearer to its bound than the one after it.
+  // An older version is nearer to its deadline than a newer one.
   const int priority = -static_cast<int>(version_);
   context_.uplink.push(
       {key(), action.peer, action.chunk, chunks_[action.chunk], priority, started->requested_at});
@@ -335,7 +335,7 @@
   context_.links.send(peer, received);
   const auto requested = requested_.find(data.chunk());
   if (requested != requested_.end()) {
-    // What the sender held it for says nothing about this link.
+    // The time that the sender held the chunk says nothing about this link.
     const Duration took = now - requested->second - std::chrono::microseconds(data.held_us());
     context_.download_window.on_completed(std::max(Duration::zero(), took));
     requested_.erase(requested);
@@ -360,7 +360,7 @@
       on_upload_ended({peer, frame.body_as_ChunkReceived()->chunk()});
       return true;
     case wire::Body::ChunkRequest:
-      if (!swarm_) return false;  // Who asks is refused.
+      if (!swarm_) return false;  // The caller refuses the request.
       uploads_.on_requested({peer, frame.body_as_ChunkRequest()->chunk()}, loop_now());
       break;
     case wire::Body::ChunkCancel:
--- a/src/host/download/version_download.h
+++ b/src/host/download/version_download.h
@@ -1,7 +1,7 @@
-/// Brings one version of a model's weights into this agent's memory and passes it on.
+/// Downloads one version of a model's weights into this agent's memory and uploads it to peers.
 ///
-/// Drives one swarm core with real sockets and the origin. A chunk counts only once it is
-/// verified by its hash. A version that is complete goes on serving others.
+/// Connects one swarm core to the peer links and the origin. A chunk is accepted only if it matches
+/// its hash. A complete version is still uploaded to peers.
 #pragma once
 
 #include <functional>
@@ -33,10 +33,10 @@
   auto operator<=>(const StagingPeer&) const = default;
 };
 
-/// Name of an agent in the swarm.
+/// Id of an agent in the swarm.
 PeerId staging_peer_id(const Address& address);
 
-/// What the downloads of one agent share: its links to others and what is known of them.
+/// Shared by the downloads of one agent: its links and their measured limits, and the origin.
 struct DownloadContext {
   const HostSettings& settings;
   WeightOrigin& origin;
@@ -46,7 +46,7 @@
   Metrics& metrics;
   LinkWindow upload_window;
   LinkWindow download_window;
-  /// A decision worth a line.
+  /// Logs a decision; lines are limited per kind.
   std::function<void(const std::string& kind, const std::string& line)> log_line;
 };
 
@@ -55,34 +55,34 @@
   using Bytes = ChunkCache::Bytes;
   using KnownBytes = std::map<Sha256, Bytes>;
 
-  /// @param version    0 for the newest that the origin has.
-  /// @param named_at   when it was named, as far as it is known.
-  /// @param joins_late whether others may hold much of it already.
+  /// @param version     0 for the newest at the origin.
+  /// @param named_at    when the version was named, as far as it is known.
+  /// @param joins_late  whether peers may already have much of it.
   VersionDownload(std::string model, std::uint64_t version, TimePoint named_at, bool joins_late,
                   DownloadContext& context);
 
-  /// Begins to fetch chunks, but for those of `known`. Call once the manifest is there.
+  /// Starts to fetch all chunks that are not in `known`. Does nothing without the manifest.
   void begin_transfer(const KnownBytes& known);
-  /// Asks for nothing more; what is here is still passed on.
+  /// Requests no more chunks; those already here are still uploaded to peers.
   void stop_fetching();
   bool transferring() const { return swarm_ != nullptr; }
   void set_peers(const std::set<StagingPeer>& peers);
-  /// Position of this agent among those that ask for chunks: the lowest is served first.
+  /// Priority of this agent's requests at its peers: the lowest rank is served first.
   void set_request_rank(std::uint32_t request_rank) { request_rank_ = request_rank; }
-  /// Share of the links that this download may use, as a number of versions under way.
+  /// Number of downloads among which the window of each link is divided; this one uses one part.
   void set_concurrent_downloads(std::uint32_t concurrent_downloads) {
     concurrent_downloads_ = concurrent_downloads;
   }
-  /// Call every few hundredths of a second.
+  /// Must be called every few tens of milliseconds.
   void on_tick(TimePoint now);
 
-  /// Frames of this version; others are left alone.
-  /// @return whether the frame was of this version.
+  /// Handles frames of this version and ignores others.
+  /// @return whether the frame was handled.
   bool on_frame(PeerId peer, const wire::Frame& frame);
   void on_manifest_request(PeerId peer);
   void accept_manifest(WeightManifest manifest, const char* source);
   void on_peer_lost(PeerId peer);
-  /// The uplink took a chunk. Uploads of other versions are left alone.
+  /// The pacer passed a chunk to the link. Uploads of other versions are ignored.
   void on_transmission_started(const ChunkUpload& upload);
 
   std::uint64_t version() const { return version_; }
@@ -91,11 +91,11 @@
   TimePoint manifest_received_at() const { return manifest_received_at_; }
   const std::vector<Bytes>& chunks() const { return chunks_; }
   bool complete() const { return swarm_ && swarm_->complete(); }
-  /// Share of the chunks that are here, 0 to 1.
+  /// Fraction of the chunks that are here, 0 to 1.
   double progress() const;
-  /// When it will be complete if it goes on as it did; nothing while that can't be told yet.
+  /// Estimated time of completion at the average rate so far; nothing while there is no estimate.
   std::optional<TimePoint> expected_completion(TimePoint now) const;
-  /// The verified chunks by their hashes, for a version that shares some.
+  /// The verified chunks by their hashes, for versions that share some of them.
   KnownBytes known_bytes() const;
 
  private:
@@ -119,7 +119,7 @@
   void execute(const SwarmComplete& action);
   void execute(const PeerAvoided& action);
   void on_upload_ended(PeerChunk upload);
-  /// How long nothing has arrived though something is asked for.
+  /// Longest time that a requested chunk has waited without any arrival; zero without requests.
   Duration receive_stall(TimePoint now) const;
   void free_upload_slot();
 
@@ -137,14 +137,14 @@
   std::unique_ptr<Swarm> swarm_;
   TimePoint transfer_begun_{};
   std::map<PeerId, std::vector<std::uint8_t>> early_joins_;
-  std::uint32_t origin_failures_ = 0;  ///< In a row.
+  std::uint32_t origin_failures_ = 0;  ///< Consecutive.
   std::uint32_t request_rank_ = 0;
   std::uint32_t concurrent_downloads_ = 1;
   ChunkUploads uploads_;
-  /// Chunks asked for here, and since when.
+  /// Chunks requested from peers, and when.
   std::map<ChunkIndex, TimePoint> requested_;
   TimePoint last_arrival_{};
-  /// Answers of the origin that come after this object are dropped.
+  /// Expires with this object, so that later responses of the origin are ignored.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/tests/host/download/chunk_uploads_test.cpp
+++ b/tests/host/download/chunk_uploads_test.cpp
@@ -20,7 +20,7 @@
  public:
   void time_is_measured_from_the_start_of_transmission() {
     CPPUNIT_ASSERT(uploads.start(kUpload, now).has_value());
-    now += milliseconds(400);  // Its turn at the pacer.
+    now += milliseconds(400);  // Waits in the pacer.
     CPPUNIT_ASSERT(uploads.oldest_transmission_age(now) == Duration::zero());
     uploads.on_transmission_started(kUpload, now);
     now += milliseconds(30);
@@ -39,7 +39,7 @@
 
   void the_request_time_is_kept_until_the_request_is_dropped() {
     uploads.on_requested(kUpload, now);
-    uploads.on_requested(kUpload, now + seconds(1));  // Asked again: the first counts.
+    uploads.on_requested(kUpload, now + seconds(1));  // Requested again: the first request counts.
     CPPUNIT_ASSERT(uploads.start(kUpload, now + seconds(2))->requested_at == now);
     uploads.finish(kUpload, now);
     uploads.on_requested(kUpload, now);
--- a/tests/host/download/origin_request_schedule_test.cpp
+++ b/tests/host/download/origin_request_schedule_test.cpp
@@ -7,11 +7,12 @@
 
 namespace pumicemast {
 
-/// A version could not be begun for 2.3 s after its origin had come back.
+/// Guards against a late start of a download after its origin has become available again.
 ///
-/// The origin was away for 6 s from half a second after the naming. Each agent doubled its pause
-/// with each failure, up to 2.4 s, and nobody asked when the origin returned. Asking all at once is
-/// no way out: 298 manifests take as long on the origin's link as the weights.
+/// The origin was unavailable for 6 s from half a second after a version was named. Each agent
+/// doubled its delay with each failure, up to 2.4 s, and no download began for 2.3 s after the
+/// origin's return. All agents must not call at once either: 298 manifests take as long on the
+/// origin's link as the weights.
 class OriginRequestScheduleTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(OriginRequestScheduleTest);
   CPPUNIT_TEST(one_agent_calls_soon_after_the_origin_returned);
@@ -20,7 +21,7 @@
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr Duration kStep = milliseconds(20);
-  /// A call that is refused is answered after this.
+  /// Time until the origin refuses a call.
   static constexpr Duration kRefusalDelay = milliseconds(10);
 
   struct Agent {
@@ -28,13 +29,13 @@
     std::optional<TimePoint> refused_at;
   };
 
-  /// Agents ask an origin that refuses; the first `dead` of them by rank do nothing.
+  /// Agents call an origin that refuses; the first `dead` of them by rank do nothing.
   struct Simulation {
     Simulation(std::uint32_t agents, std::uint32_t dead) : agents_(agents), dead_(dead) {
       for (Agent& agent : agents_) agent.schedule.begin(now_);
     }
 
-    /// @return calls that the origin got within `duration`, if it refuses all of them.
+    /// @return number of calls that the origin got within `duration`; it refuses all of them.
     std::size_t run(Duration duration) {
       std::size_t calls = 0;
       for (const TimePoint end = now_ + duration; now_ < end; now_ += kStep) {
@@ -70,8 +71,8 @@
     }
   }
 
-  /// A manifest of 100 chunks has 7 KB, a tenth of a second of a link of 4 Mbit/s is 50 KB: while
-  /// the first manifests are on their way, few others may be.
+  /// A manifest of 100 chunks has 7 KB, and a link of 4 Mbit/s carries 50 KB in a tenth of a
+  /// second: few calls may be in flight while the first manifests are sent.
   void few_agents_call_at_the_same_time() {
     Simulation simulation(300, 0);
     CPPUNIT_ASSERT(simulation.run(milliseconds(100)) <= 2);
