--- a/src/host/credits/credit_dealer.h
+++ b/src/host/credits/credit_allocator.h
@@ -12,36 +12,39 @@
 
 namespace pumicemast {
 
-struct EngineRoom {
+struct EngineCapacity {
   std::uint32_t slots = 0;            ///< 0 while the engine's profile is not known.
-  std::uint32_t taken = 0;            ///< Requests that run or wait there.
+  std::uint32_t occupied = 0;         ///< Requests that run or wait there.
   std::uint32_t prompt_chunk = 2048;  ///< Prompt tokens that one pass reads.
-  double usual_prompt = 1000;         ///< Tokens.
+  double usual_prompt_tokens = 1000;  ///< Tokens.
 };
 
-class CreditDealer {
+class CreditAllocator {
  public:
   /// A gateway's prompts at the engine without a first token, in tokens.
-  void set_unread(PeerId gateway, std::uint32_t tokens) { unread_[gateway] = tokens; }
+  void set_pending_tokens(PeerId gateway, std::uint32_t tokens) {
+    pending_tokens_[gateway] = tokens;
+  }
   /// First attempts that reach a gateway in a second.
   void set_demand(PeerId gateway, double requests_per_s) { demand_[gateway] = requests_per_s; }
-  void forget(PeerId gateway);
-  std::uint32_t unread() const;
-  std::uint32_t unread_of_others(PeerId gateway) const;
+  void remove_gateway(PeerId gateway);
+  std::uint32_t pending_tokens() const;
+  std::uint32_t pending_tokens_of_others(PeerId gateway) const;
 
   /// New requests that each gateway may send until the next deal: no more than there are free
   /// slots, nor than the engine can read prompts of within two passes. Over several deals each
   /// gateway gets a share by the root of its demand.
-  std::map<PeerId, std::uint32_t> deal(const EngineRoom& room, const std::vector<PeerId>& gateways);
+  std::map<PeerId, std::uint32_t> allocate(const EngineCapacity& capacity,
+                                           const std::vector<PeerId>& gateways);
 
  private:
-  std::uint32_t prompts_ahead(const EngineRoom& room) const;
+  std::uint32_t prompt_allowance(const EngineCapacity& capacity) const;
   std::map<PeerId, double> shares(const std::vector<PeerId>& gateways) const;
 
-  std::map<PeerId, std::uint32_t> unread_;
+  std::map<PeerId, std::uint32_t> pending_tokens_;
   std::map<PeerId, double> demand_;
   /// Credits that each gateway was given less than its share of all that were dealt.
-  std::map<PeerId, double> owed_;
+  std::map<PeerId, double> deficits_;
 };
 
 }  // namespace pumicemast
--- a/src/host/credits/report_schedule.cpp
+++ b/src/host/credits/report_schedule.cpp
@@ -4,37 +4,41 @@
 namespace {
 
 /// Whether the engine may be used from now on, or no longer, or is to leave.
-bool use_differs(const LoadReport& left, const LoadReport& right) {
-  return left.alive != right.alive || left.busy != right.busy ||
-         left.weight_version != right.weight_version ||
-         left.leaves_in.has_value() != right.leaves_in.has_value();
+bool availability_changed(const LoadReport& report, const LoadReport& previous) {
+  return report.alive != previous.alive || report.busy != previous.busy ||
+         report.weight_version != previous.weight_version ||
+         report.leaves_in.has_value() != previous.leaves_in.has_value();
 }
 
-bool load_differs(const LoadReport& left, const LoadReport& right) {
-  return left.running != right.running || left.queued != right.queued || use_differs(left, right);
+bool load_changed(const LoadReport& report, const LoadReport& previous) {
+  return report.running != previous.running || report.queued != previous.queued ||
+         availability_changed(report, previous);
 }
 
 }  // namespace
 
-bool ReportSchedule::near_due(const LoadReport& report, Duration lifetime, TimePoint now) const {
-  return load_differs(report, near_.report) || now - near_.at >= lifetime;
+bool ReportSchedule::same_zone_due(const LoadReport& report, Duration refresh_interval,
+                                   TimePoint now) const {
+  return load_changed(report, same_zone_.report) || now - same_zone_.at >= refresh_interval;
 }
 
-bool ReportSchedule::far_due(const LoadReport& report, Duration lifetime, TimePoint now) const {
-  if (use_differs(report, far_.report)) return true;
-  const Duration since = now - far_.at;
-  if (since < options_.far_interval) return false;
-  return load_differs(report, far_.report) || since >= lifetime;
+bool ReportSchedule::other_zones_due(const LoadReport& report, Duration refresh_interval,
+                                     TimePoint now) const {
+  if (availability_changed(report, other_zones_.report)) return true;
+  const Duration since = now - other_zones_.at;
+  if (since < options_.other_zones_interval) return false;
+  return load_changed(report, other_zones_.report) || since >= refresh_interval;
 }
 
-ReportAudience ReportSchedule::next(const LoadReport& report, bool room_left, bool forced,
+ReportAudience ReportSchedule::next(const LoadReport& report, bool has_free_slots, bool forced,
                                     TimePoint now) {
-  const bool deals = report.running > 0 && room_left;
-  const Duration lifetime = deals ? options_.credit_lifetime : options_.lifetime;
-  const ReportAudience audience{forced || near_due(report, lifetime, now),
-                                forced || far_due(report, lifetime, now)};
-  if (audience.near) near_ = {report, now};
-  if (audience.far) far_ = {report, now};
+  const bool refreshes_credits = report.running > 0 && has_free_slots;
+  const Duration refresh_interval =
+      refreshes_credits ? options_.credit_refresh_interval : options_.refresh_interval;
+  const ReportAudience audience{forced || same_zone_due(report, refresh_interval, now),
+                                forced || other_zones_due(report, refresh_interval, now)};
+  if (audience.same_zone) same_zone_ = {report, now};
+  if (audience.other_zones) other_zones_ = {report, now};
   return audience;
 }
 
--- a/src/host/credits/report_schedule.h
+++ b/src/host/credits/report_schedule.h
@@ -11,18 +11,18 @@
 
 struct ReportScheduleOptions {
   /// Reports go out when something changed, and this often all the same.
-  Duration lifetime = milliseconds(360);
+  Duration refresh_interval = milliseconds(360);
   /// The same while there is work and room: credits that were not used are dealt anew.
-  Duration credit_lifetime = milliseconds(100);
+  Duration credit_refresh_interval = milliseconds(100);
   /// Between two reports to other zones, unless the engine's use changes.
-  Duration far_interval = milliseconds(250);
+  Duration other_zones_interval = milliseconds(250);
 };
 
 /// Who is to get a report now.
 struct ReportAudience {
-  bool near = false;  ///< Gateways of the own zone.
-  bool far = false;   ///< Those of other zones.
-  bool anyone() const { return near || far; }
+  bool same_zone = false;    ///< Gateways of the own zone.
+  bool other_zones = false;  ///< Those of other zones.
+  bool any() const { return same_zone || other_zones; }
 };
 
 class ReportSchedule {
@@ -30,22 +30,22 @@
   explicit ReportSchedule(ReportScheduleOptions options = {}) : options_(options) {}
 
   /// Who is to be told `report`; it then counts as told to them.
-  /// @param room_left  the engine could take a further request.
+  /// @param has_free_slots  the engine could take a further request.
   /// @param forced     everyone is to be told, whatever was told before.
-  ReportAudience next(const LoadReport& report, bool room_left, bool forced, TimePoint now);
+  ReportAudience next(const LoadReport& report, bool has_free_slots, bool forced, TimePoint now);
 
  private:
   /// What an audience was last told.
-  struct Told {
+  struct LastReport {
     LoadReport report;
     TimePoint at{};
   };
-  bool near_due(const LoadReport& report, Duration lifetime, TimePoint now) const;
-  bool far_due(const LoadReport& report, Duration lifetime, TimePoint now) const;
+  bool same_zone_due(const LoadReport& report, Duration refresh_interval, TimePoint now) const;
+  bool other_zones_due(const LoadReport& report, Duration refresh_interval, TimePoint now) const;
 
   ReportScheduleOptions options_;
-  Told near_;
-  Told far_;
+  LastReport same_zone_;
+  LastReport other_zones_;
 };
 
 }  // namespace pumicemast
--- a/src/host/host_daemon.cpp
+++ b/src/host/host_daemon.cpp
@@ -126,9 +126,9 @@
 
 void HostDaemon::on_engine_profile(const EngineProfile& profile, const OriginProfile& origin) {
   if (!origin_) origin_ = origin_factory_->make(origin);
-  room_.slots = profile.slots;
-  room_.prompt_chunk = profile.prompt_chunk;
-  room_.usual_prompt = profile.usual_prompt_tokens;
+  capacity_.slots = profile.slots;
+  capacity_.prompt_chunk = profile.prompt_chunk;
+  capacity_.usual_prompt_tokens = profile.usual_prompt_tokens;
   engine_->set_layer_count(profile.layers);
   for (const ModelProfile& model : profile.models) {
     if (stagers_.contains(model.name)) continue;
@@ -137,7 +137,8 @@
     auto stager = std::make_unique<ModelStager>(
         model.name, settings_, chart_, *engine_, *origin_, links_, metrics_,
         ModelStager::Callbacks{
-            [this] { send_report(true); }, [this] { return dealer_.unread() > 0; },
+            [this] { send_report(true); },
+            [this] { return credit_allocator_.pending_tokens() > 0; },
             [this](const std::string& kind, const std::string& line) { log_line(kind, line); }});
     stager->set_peers(peers_);
     if (!peers_overdue_) stager->wait_for_peers();
@@ -159,17 +160,17 @@
   wire::BackendListRequestT request;
   request.known_revision = engine_list_.revision();
   // The first time all agents of the zone ask at once: any gateway of it may have the list.
-  links_.send(request.known_revision == 0 ? next_near_gateway(gateway) : gateway, request);
+  links_.send(request.known_revision == 0 ? next_zone_gateway(gateway) : gateway, request);
 }
 
-PeerId HostDaemon::next_near_gateway(PeerId fallback) {
-  std::vector<PeerId> near;
+PeerId HostDaemon::next_zone_gateway(PeerId fallback) {
+  std::vector<PeerId> candidates;
   for (const auto& [peer, subscriber] : subscribers_) {
-    if (subscriber.near) near.push_back(peer);
+    if (subscriber.same_zone) candidates.push_back(peer);
   }
-  if (near.empty()) return fallback;
+  if (candidates.empty()) return fallback;
   const std::uint64_t turn = stable_hash(settings_.name) + lists_asked_for_++;
-  return near[turn % near.size()];
+  return candidates[turn % candidates.size()];
 }
 
 void HostDaemon::on_backend_changes(PeerId gateway, const BackendChanges& changes) {
@@ -245,7 +246,7 @@
 
 void HostDaemon::on_prompt_backlog(PeerId peer, const wire::PromptBacklog& backlog) {
   if (!subscribers_.contains(peer)) return;
-  dealer_.set_unread(peer, backlog.unread_tokens());
+  credit_allocator_.set_pending_tokens(peer, backlog.unread_tokens());
   if (!backlog_timer_.active()) {
     backlog_timer_.start_once(kBacklogInterval, [this] { tell_backlogs(); });
   }
@@ -283,9 +284,9 @@
 
 void HostDaemon::tell_backlogs() {
   for (auto& [peer, subscriber] : subscribers_) {
-    const std::uint32_t tokens = dealer_.unread_of_others(peer);
+    const std::uint32_t tokens = credit_allocator_.pending_tokens_of_others(peer);
     // Between zones bytes are dear: there it goes with the next report.
-    if (!subscriber.near || tokens == subscriber.told_others_tokens) continue;
+    if (!subscriber.same_zone || tokens == subscriber.told_others_tokens) continue;
     subscriber.told_others_tokens = tokens;
     wire::OthersBacklogT message;
     message.engine = settings_.engine.to_string();
@@ -314,9 +315,9 @@
   subscriber.address = subscription.address()->str();
   subscriber.ping = subscription.ping();
   subscriber.zone = subscription.zone() == nullptr ? "" : subscription.zone()->str();
-  dealer_.set_demand(peer, subscription.demand());
-  subscriber.near = subscriber.zone.empty() || subscriber.zone == settings_.zone;
-  const bool reads_list = subscriber.near && subscription.list_revision() > 0;
+  credit_allocator_.set_demand(peer, subscription.demand());
+  subscriber.same_zone = subscriber.zone.empty() || subscriber.zone == settings_.zone;
+  const bool reads_list = subscriber.same_zone && subscription.list_revision() > 0;
   if (reads_list) on_reader_heard(peer, subscription.list_revision());
   if (!is_new) return;
   new_subscribers_.insert(peer);
@@ -333,7 +334,7 @@
   // the others already is told of the new ones: the whole list of 149 gateways is 12 KB, and to
   // each of 30 in the zone it takes 0.4 s of an uplink of 7.3 Mbit/s.
   for (const auto& [subscriber, details] : subscribers_) {
-    if (!details.near) continue;
+    if (!details.same_zone) continue;
     send_gateway_list(subscriber, new_subscribers_.contains(subscriber) ? all : new_subscribers_);
   }
   new_subscribers_.clear();
@@ -417,15 +418,15 @@
 void HostDaemon::send_report(bool forced) {
   const TimePoint now = loop_now();
   const LoadReport report = current_load(now);
-  const bool room_left = report.running + report.queued < room_.slots;
-  const ReportAudience audience = schedule_.next(report, room_left, forced, now);
-  if (!audience.anyone()) return;
+  const bool has_free_slots = report.running + report.queued < capacity_.slots;
+  const ReportAudience audience = schedule_.next(report, has_free_slots, forced, now);
+  if (!audience.any()) return;
   forget_silent_subscribers(now);
   wire::EngineReportT message = encode(report);
-  for (const auto& [peer, credit] : deal_credits(report, audience)) {
+  for (const auto& [peer, credit] : allocate_credits(report, audience)) {
     Subscriber& subscriber = subscribers_.at(peer);
     message.credit = credit;
-    message.others_unread_tokens = dealer_.unread_of_others(peer);
+    message.others_unread_tokens = credit_allocator_.pending_tokens_of_others(peer);
     subscriber.told_others_tokens = message.others_unread_tokens;
     message.echo = subscriber.ping;
     message.echo_held_us = static_cast<std::uint32_t>((now - subscriber.renewed).count());
@@ -436,7 +437,7 @@
 
 void HostDaemon::forget_subscriber(PeerId peer) {
   subscribers_.erase(peer);
-  dealer_.forget(peer);
+  credit_allocator_.remove_gateway(peer);
 }
 
 void HostDaemon::forget_silent_subscribers(TimePoint now) {
@@ -447,16 +448,16 @@
   for (const PeerId peer : silent) forget_subscriber(peer);
 }
 
-std::map<PeerId, std::uint32_t> HostDaemon::deal_credits(const LoadReport& report,
-                                                         ReportAudience audience) {
+std::map<PeerId, std::uint32_t> HostDaemon::allocate_credits(const LoadReport& report,
+                                                             ReportAudience audience) {
   std::vector<PeerId> gateways;
   for (const auto& [peer, subscriber] : subscribers_) {
-    if (subscriber.near ? audience.near : audience.far) gateways.push_back(peer);
+    if (subscriber.same_zone ? audience.same_zone : audience.other_zones) gateways.push_back(peer);
   }
-  room_.taken = report.running + report.queued;
+  capacity_.occupied = report.running + report.queued;
   // Under a limit permits take the place of credits, also at gateways that have not heard of it.
-  if (permits_.limit().named()) room_.taken = std::max(room_.taken, room_.slots);
-  return dealer_.deal(room_, gateways);
+  if (permits_.limit().named()) capacity_.occupied = std::max(capacity_.occupied, capacity_.slots);
+  return credit_allocator_.allocate(capacity_, gateways);
 }
 
 void HostDaemon::tick() {
--- a/src/host/host_daemon.h
+++ b/src/host/host_daemon.h
@@ -11,7 +11,7 @@
 #include "common/log_budget.h"
 #include "common/metrics.h"
 #include "common/state_chart.h"
-#include "host/credits/credit_dealer.h"
+#include "host/credits/credit_allocator.h"
 #include "host/credits/report_schedule.h"
 #include "host/engine_control.h"
 #include "host/engine_list.h"
@@ -49,14 +49,15 @@
     TimePoint renewed{};
     std::string address;
     std::string zone;
-    bool near = true;                      ///< It stands in the agent's zone.
+    bool same_zone = true;                 ///< It stands in the agent's zone.
     std::uint64_t ping = 0;                ///< Its last one that was not sent back yet; or 0.
     std::uint32_t told_others_tokens = 0;  ///< What it was told of the others'.
   };
   /// Another gateway of the zone at each call; agents begin at different ones.
-  PeerId next_near_gateway(PeerId fallback);
+  PeerId next_zone_gateway(PeerId fallback);
   /// New requests that each gateway may send until its next report; only for those that get one.
-  std::map<PeerId, std::uint32_t> deal_credits(const LoadReport& report, ReportAudience audience);
+  std::map<PeerId, std::uint32_t> allocate_credits(const LoadReport& report,
+                                                   ReportAudience audience);
 
   void on_engine_profile(const EngineProfile& profile, const OriginProfile& origin) override;
   void on_backend_list(const std::vector<BackendRecord>& records, std::uint64_t revision) override;
@@ -115,8 +116,8 @@
   EngineList engine_list_;
   std::uint64_t lists_asked_for_ = 0;
   LoadReport load_;
-  CreditDealer dealer_;
-  EngineRoom room_;
+  CreditAllocator credit_allocator_;
+  EngineCapacity capacity_;
   ReportSchedule schedule_;
   PermitIssuer permits_;
   TimePoint limit_told_at_{};
--- a/tests/host/credits/report_schedule_test.cpp
+++ b/tests/host/credits/report_schedule_test.cpp
@@ -6,11 +6,11 @@
 
 class ReportScheduleTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ReportScheduleTest);
-  CPPUNIT_TEST(a_change_of_load_is_told_nearby_at_once_and_far_away_later);
-  CPPUNIT_TEST(that_an_engine_may_no_longer_be_used_is_told_to_all_at_once);
-  CPPUNIT_TEST(without_changes_reports_are_repeated_before_they_are_too_old);
-  CPPUNIT_TEST(unused_credits_are_dealt_anew_nearby);
-  CPPUNIT_TEST(a_change_that_other_zones_missed_reaches_them_without_a_further_one);
+  CPPUNIT_TEST(a_load_change_is_reported_at_once_to_the_same_zone_and_later_to_others);
+  CPPUNIT_TEST(an_availability_change_is_reported_at_once_to_all_zones);
+  CPPUNIT_TEST(unchanged_reports_are_repeated_before_they_expire);
+  CPPUNIT_TEST(unused_credits_are_reallocated_in_the_same_zone);
+  CPPUNIT_TEST(a_deferred_change_reaches_other_zones_without_another_change);
   CPPUNIT_TEST(a_forced_report_goes_to_all);
   CPPUNIT_TEST_SUITE_END();
 
@@ -19,8 +19,8 @@
   LoadReport report;
   TimePoint now = TimePoint(seconds(100));
 
-  ReportAudience next(bool room_left = false, bool forced = false) {
-    return schedule.next(report, room_left, forced, now);
+  ReportAudience next(bool has_free_slots = false, bool forced = false) {
+    return schedule.next(report, has_free_slots, forced, now);
   }
 
  public:
@@ -31,59 +31,59 @@
     next();
   }
 
-  void a_change_of_load_is_told_nearby_at_once_and_far_away_later() {
+  void a_load_change_is_reported_at_once_to_the_same_zone_and_later_to_others() {
     now += milliseconds(50);
     report.running = 4;
     ReportAudience audience = next();
-    CPPUNIT_ASSERT(audience.near && !audience.far);
-    now += options.far_interval;
+    CPPUNIT_ASSERT(audience.same_zone && !audience.other_zones);
+    now += options.other_zones_interval;
     report.running = 5;
     audience = next();
-    CPPUNIT_ASSERT(audience.near && audience.far);
+    CPPUNIT_ASSERT(audience.same_zone && audience.other_zones);
   }
 
-  void that_an_engine_may_no_longer_be_used_is_told_to_all_at_once() {
+  void an_availability_change_is_reported_at_once_to_all_zones() {
     now += milliseconds(1);
     report.busy = true;
-    CPPUNIT_ASSERT(next().far);
+    CPPUNIT_ASSERT(next().other_zones);
     now += milliseconds(1);
     report.busy = false;
     report.weight_version = 2;
-    CPPUNIT_ASSERT(next().far);
+    CPPUNIT_ASSERT(next().other_zones);
     now += milliseconds(1);
     report.leaves_in = seconds(2);
-    CPPUNIT_ASSERT(next().far);
+    CPPUNIT_ASSERT(next().other_zones);
     now += milliseconds(1);
     report.leaves_in = seconds(1);
-    CPPUNIT_ASSERT(!next().anyone());
+    CPPUNIT_ASSERT(!next().any());
   }
 
-  void without_changes_reports_are_repeated_before_they_are_too_old() {
-    now += options.lifetime - milliseconds(1);
-    CPPUNIT_ASSERT(!next().anyone());
+  void unchanged_reports_are_repeated_before_they_expire() {
+    now += options.refresh_interval - milliseconds(1);
+    CPPUNIT_ASSERT(!next().any());
     now += milliseconds(1);
     const ReportAudience audience = next();
-    CPPUNIT_ASSERT(audience.near && audience.far);
+    CPPUNIT_ASSERT(audience.same_zone && audience.other_zones);
   }
 
-  void unused_credits_are_dealt_anew_nearby() {
-    now += options.credit_lifetime;
-    CPPUNIT_ASSERT(!next(false).anyone());
+  void unused_credits_are_reallocated_in_the_same_zone() {
+    now += options.credit_refresh_interval;
+    CPPUNIT_ASSERT(!next(false).any());
     const ReportAudience audience = next(true);
-    CPPUNIT_ASSERT(audience.near && !audience.far);
+    CPPUNIT_ASSERT(audience.same_zone && !audience.other_zones);
   }
 
-  void a_change_that_other_zones_missed_reaches_them_without_a_further_one() {
+  void a_deferred_change_reaches_other_zones_without_another_change() {
     now += milliseconds(50);
     report.running = 4;
-    CPPUNIT_ASSERT(!next().far);
-    now += options.far_interval;
-    CPPUNIT_ASSERT(next().far);
+    CPPUNIT_ASSERT(!next().other_zones);
+    now += options.other_zones_interval;
+    CPPUNIT_ASSERT(next().other_zones);
   }
 
   void a_forced_report_goes_to_all() {
     const ReportAudience audience = next(false, true);
-    CPPUNIT_ASSERT(audience.near && audience.far);
+    CPPUNIT_ASSERT(audience.same_zone && audience.other_zones);
   }
 };
 
--- a/tests/support/overload_world.cpp
+++ b/tests/support/overload_world.cpp
@@ -78,7 +78,7 @@
   explicit Engine(const EngineProfile& profile) : model(profile) {}
 
   ModelledEngine model;
-  CreditDealer dealer;
+  CreditAllocator dealer;
   Address address;
   std::string id;
 };
@@ -278,7 +278,7 @@
 void OverloadWorld::pass_on_backlogs() {
   for (std::size_t gateway = 0; gateway < gateways_.size(); ++gateway) {
     for (const PromptBacklog& backlog : gateways_[gateway]->pool.take_changed_backlogs()) {
-      engines_[backlog.address.port - 1U]->dealer.set_unread(
+      engines_[backlog.address.port - 1U]->dealer.set_pending_tokens(
           gateway, static_cast<std::uint32_t>(backlog.unread_tokens));
     }
   }
@@ -288,18 +288,18 @@
   std::vector<PeerId> peers;
   for (std::size_t gateway = 0; gateway < gateways_.size(); ++gateway) peers.push_back(gateway);
   for (const auto& engine : engines_) {
-    EngineRoom room;
+    EngineCapacity room;
     room.slots = true_profile().slots;
-    room.taken = engine->model.running() + engine->model.queued();
-    room.usual_prompt = kUsualPrompt;
-    for (const auto& [gateway, credit] : engine->dealer.deal(room, peers)) {
+    room.occupied = engine->model.running() + engine->model.queued();
+    room.usual_prompt_tokens = kUsualPrompt;
+    for (const auto& [gateway, credit] : engine->dealer.allocate(room, peers)) {
       LoadReport load;
       load.alive = true;
       load.running = engine->model.running();
       load.queued = engine->model.queued();
       load.weight_version = 1;
       load.credit = credit;
-      load.others_unread_tokens = engine->dealer.unread_of_others(gateway);
+      load.others_unread_tokens = engine->dealer.pending_tokens_of_others(gateway);
       gateways_[gateway]->pool.on_report(engine->address, load, now_);
     }
   }
--- a/tests/support/overload_world.h
+++ b/tests/support/overload_world.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "gateway/requests/request_forwarder.h"
-#include "host/credits/credit_dealer.h"
+#include "host/credits/credit_allocator.h"
 #include "support/modelled_engine.h"
 
 namespace pumicemast::tests {
