--- a/src/host/credits/credit_allocator.cpp
+++ b/src/host/credits/credit_allocator.cpp
@@ -6,10 +6,10 @@
 namespace pumicemast {
 namespace {
 
-/// Prompts are let in ahead while they can be read in so many passes of the engine.
+/// New prompts are admitted while the engine can read all pending ones in this many prefill passes.
 constexpr double kMaximumBacklogPasses = 2;
-/// A gateway counts with at least this share of the mean demand: it may be new, or its word be
-/// late.
+/// A gateway's weight is at least this fraction of the mean: it may be new, or its report of demand
+/// may be late.
 constexpr double kMinimumDemandFraction = 0.1;
 
 }  // namespace
@@ -55,9 +55,10 @@
   return credits;
 }
 
-// By the root of the demand: whoever finishes a request may use its place again at once, so that
-// gateways with more callers keep more places than they are dealt. Dealt by the demand itself the
-// callers of small gateways would be refused more often, dealt equally those of large ones.
+// Proportional to the square root of the demand: a gateway may reuse the slot of a finished request
+// at once, so that gateways with more callers hold more slots than they got credits for. Shares
+// proportional to the demand itself would have callers of small gateways refused more often, equal
+// shares those of large ones.
 std::map<PeerId, double> CreditAllocator::shares(const std::vector<PeerId>& gateways) const {
   std::map<PeerId, double> weights;
   double known_total = 0;
--- a/src/host/credits/report_schedule.cpp
+++ b/src/host/credits/report_schedule.cpp
@@ -3,7 +3,7 @@
 namespace pumicemast {
 namespace {
 
-/// Whether the engine may be used from now on, or no longer, or is to leave.
+/// Whether the engine became available or unavailable, or its departure was scheduled or cancelled.
 bool availability_changed(const LoadReport& report, const LoadReport& previous) {
   return report.alive != previous.alive || report.busy != previous.busy ||
          report.weight_version != previous.weight_version ||
--- a/src/host/credits/report_schedule.h
+++ b/src/host/credits/report_schedule.h
@@ -1,7 +1,7 @@
-/// Decides when the gateways of the own zone, and of others, are told an engine's load.
+/// Decides when the gateways of the agent's zone and of other zones get an engine's load report.
 ///
-/// A decision core: no I/O. Bytes between zones are dear, so that other zones hear of mere changes
-/// of load less often; that an engine may be used, or no longer, is told to all at once.
+/// A decision core: no I/O. Traffic between zones is expensive, so that other zones get changes of
+/// the load less often; changes of the engine's availability are reported to all gateways at once.
 #pragma once
 
 #include "common/time.h"
@@ -10,18 +10,18 @@
 namespace pumicemast {
 
 struct ReportScheduleOptions {
-  /// Reports go out when something changed, and this often all the same.
+  /// Interval after which a report is repeated without changes.
   Duration refresh_interval = milliseconds(360);
-  /// The same while there is work and room: credits that were not used are dealt anew.
+  /// The same while the engine has running requests and free slots: unused credits are reallocated.
   Duration credit_refresh_interval = milliseconds(100);
-  /// Between two reports to other zones, unless the engine's use changes.
+  /// Minimum time between two reports to other zones, unless the engine's availability changes.
   Duration other_zones_interval = milliseconds(250);
 };
 
-/// Who is to get a report now.
+/// Gateways that get a report now.
 struct ReportAudience {
-  bool same_zone = false;    ///< Gateways of the own zone.
-  bool other_zones = false;  ///< Those of other zones.
+  bool same_zone = false;    ///< Gateways of the agent's zone.
+  bool other_zones = false;  ///< Gateways of other zones.
   bool any() const { return same_zone || other_zones; }
 };
 
@@ -29,13 +29,12 @@
  public:
   explicit ReportSchedule(ReportScheduleOptions options = {}) : options_(options) {}
 
-  /// Who is to be told `report`; it then counts as told to them.
-  /// @param has_free_slots  the engine could take a further request.
-  /// @param forced     everyone is to be told, whatever was told before.
+  /// Decides which gateways get `report` and records it as sent to them.
+  /// @param has_free_slots  the engine can accept another request.
+  /// @param forced          all gateways get the report, whatever was sent before.
   ReportAudience next(const LoadReport& report, bool has_free_slots, bool forced, TimePoint now);
 
  private:
-  /// What an audience was last told.
   struct LastReport {
     LoadReport report;
     TimePoint at{};
--- a/tests/host/credits/credit_allocator_test.cpp
+++ b/tests/host/credits/credit_allocator_test.cpp
@@ -35,7 +35,7 @@
   }
 
   using Sums = std::map<PeerId, std::uint32_t>;
-  /// What each gateway got from so many deals of a single place.
+  /// Credits of each gateway after `rounds` allocations of a single free slot.
   Sums allocate_one_by_one(int rounds, const std::vector<PeerId>& gateways) {
     capacity.occupied = capacity.slots - 1;
     Sums sums;
@@ -73,7 +73,7 @@
     allocator.set_demand(1, 40);
     allocator.set_demand(2, 10);
     allocator.set_demand(3, 10);
-    // By the root of the demand.
+    // Proportional to the square root of the demand.
     CPPUNIT_ASSERT((Sums{{1, 10}, {2, 5}, {3, 5}}) == allocate_one_by_one(20, {1, 2, 3}));
   }
 
@@ -104,7 +104,7 @@
 
   void admitted_prompts_are_limited_to_two_passes() {
     capacity.usual_prompt_tokens =
-        1000;  // Two passes read 4,096 tokens: four prompts, and what is left of one.
+        1000;  // Two passes read 4,096 tokens: four prompts and part of a fifth.
     CPPUNIT_ASSERT_EQUAL(5U, total(allocator.allocate(capacity, {1, 2, 3, 4, 5, 6, 7})));
   }
 
