--- a/src/host/engine_control.h
+++ b/src/host/engine_control.h
@@ -99,7 +99,7 @@
   virtual void start(HostListener& listener) = 0;
   /// Whether others tell the list of back ends and named weights: then the platform's store is
   /// asked for them rarely, or not at all.
-  virtual void set_told_by_others(bool told) = 0;
+  virtual void set_updates_relayed(bool relayed) = 0;
 };
 
 }  // namespace pumicemast
--- a/src/host/engine_list.cpp
+++ b/src/host/engine_list.cpp
@@ -4,9 +4,9 @@
 namespace {
 
 /// Gateways that read the list say so twice a second, and are replaced within 1.5 s.
-constexpr Duration kReaderLifetime = seconds(4);
+constexpr Duration kReaderTimeout = seconds(4);
 /// The whole list comes within the zone in some milliseconds.
-constexpr Duration kAskInterval = milliseconds(500);
+constexpr Duration kListRequestInterval = milliseconds(500);
 
 }  // namespace
 
@@ -15,7 +15,7 @@
   for (const BackendRecord& record : records) records_[record.id] = record;
 }
 
-void EngineList::on_listed(const std::vector<BackendRecord>& records, std::uint64_t revision) {
+void EngineList::on_list_read(const std::vector<BackendRecord>& records, std::uint64_t revision) {
   // The store may give an answer that is seconds old.
   if (follower_.revision() > revision) return;
   follower_.on_read(revision);
@@ -36,15 +36,15 @@
   return step;
 }
 
-bool EngineList::on_reader_heard(std::uint64_t revision, TimePoint now) {
-  reader_heard_at_ = now;
-  if (!follower_.lacks(revision) || now < next_ask_) return false;
-  next_ask_ = now + kAskInterval;
+bool EngineList::on_reader_status(std::uint64_t revision, TimePoint now) {
+  reader_seen_at_ = now;
+  if (!follower_.lacks(revision) || now < next_request_at_) return false;
+  next_request_at_ = now + kListRequestInterval;
   return true;
 }
 
-bool EngineList::told_by_gateways(TimePoint now) const {
-  return reader_heard_at_ && now - *reader_heard_at_ < kReaderLifetime;
+bool EngineList::relayed_by_gateways(TimePoint now) const {
+  return reader_seen_at_ && now - *reader_seen_at_ < kReaderTimeout;
 }
 
 std::vector<BackendRecord> EngineList::records() const {
--- a/src/host/engine_list.h
+++ b/src/host/engine_list.h
@@ -19,14 +19,14 @@
 class EngineList {
  public:
   /// The whole list was read from the store.
-  void on_listed(const std::vector<BackendRecord>& records, std::uint64_t revision);
+  void on_list_read(const std::vector<BackendRecord>& records, std::uint64_t revision);
   /// A gateway passes on what changed.
   BackendListFollower::Step on_changes(const BackendChanges& changes);
   /// A gateway of the zone reads the list, which is of that revision there.
   /// @return whether to ask it for the whole list now.
-  bool on_reader_heard(std::uint64_t revision, TimePoint now);
+  bool on_reader_status(std::uint64_t revision, TimePoint now);
   /// Whether gateways tell what changes.
-  bool told_by_gateways(TimePoint now) const;
+  bool relayed_by_gateways(TimePoint now) const;
 
   std::uint64_t revision() const { return follower_.revision(); }
   std::vector<BackendRecord> records() const;
@@ -36,8 +36,8 @@
 
   BackendListFollower follower_;
   std::map<std::string, BackendRecord> records_;
-  std::optional<TimePoint> reader_heard_at_;
-  TimePoint next_ask_{};
+  std::optional<TimePoint> reader_seen_at_;
+  TimePoint next_request_at_{};
 };
 
 }  // namespace pumicemast
--- a/src/host/host_daemon.cpp
+++ b/src/host/host_daemon.cpp
@@ -20,17 +20,17 @@
 constexpr Duration kLimitReportInterval = milliseconds(100);
 /// Neither gateways nor the store name other engines within so long: weights are drawn all the
 /// same.
-constexpr Duration kPeersLimit = seconds(10);
+constexpr Duration kPeersTimeout = seconds(10);
 /// New subscriptions are gathered for so long before gateways are told of each other.
 constexpr Duration kGatewayListInterval = milliseconds(300);
-constexpr Duration kSubscriptionLifetime = seconds(6);
+constexpr Duration kSubscriptionTimeout = seconds(6);
 constexpr Duration kUnansweredLimit = seconds(2);
 /// A stopping agent waits so long for an order to be settled: the next process knows nothing of it,
 /// and would write over what it may still take. A few attempts of half a second each.
-constexpr Duration kSettleAtStop = seconds(2);
+constexpr Duration kStopSettleTimeout = seconds(2);
 /// In one connection: twice what uploads may leave there. A peer that reads leaves a few chunks.
 constexpr std::size_t kQueueLimitBytes = 8U << 20U;
-constexpr std::uint32_t kLinesPerSecond = 20;
+constexpr std::uint32_t kLogLinesPerSecond = 20;
 constexpr int kStatusOk = 200;
 constexpr int kStatusNotFound = 404;
 
@@ -46,11 +46,11 @@
       engine_(std::move(engine)),
       origin_factory_(std::move(origin_factory)),
       feed_(std::move(feed)),
-      log_budget_(kLinesPerSecond),
+      log_budget_(kLogLinesPerSecond),
       links_(settings_.internal_address.to_string(), metrics_,
              {[this](PeerId peer, const wire::Frame& frame) { on_frame(peer, frame); },
               [this](PeerId peer) {
-                forget_subscriber(peer);
+                remove_subscriber(peer);
                 for (const auto& [model, stager] : stagers_) stager->on_peer_lost(peer);
               },
               [this](PeerId peer) {
@@ -73,7 +73,7 @@
                                  "the address cannot be bound"});
   }
   feed_->start(*this);
-  peers_timer_.start_once(kPeersLimit, [this] { go_on_without_peers(); });
+  peers_timer_.start_once(kPeersTimeout, [this] { on_peers_timeout(); });
   poll_timer_.start_repeating(settings_.report_interval, [this] { poll_engine(); });
   tick_timer_.start_once(kTickInterval, [this] { tick(); });
   sweep_timer_.start_repeating(kSweepInterval, [this] {
@@ -82,7 +82,7 @@
     }
     flush_decision_log();
     metrics_server_.expire(loop_now());
-    feed_->set_told_by_others(engine_list_.told_by_gateways(loop_now()));
+    feed_->set_updates_relayed(engine_list_.relayed_by_gateways(loop_now()));
   });
   LOG(INFO) << "host event=start name=" << settings_.name << " zone=" << settings_.zone
             << " engine=" << settings_.engine.to_string();
@@ -92,16 +92,16 @@
 void HostDaemon::terminate() {
   LOG(INFO) << "host event=stop";
   stop_requested_ = loop_now();
-  check_stopped(loop_now());
+  stop_if_settled(loop_now());
 }
 
-void HostDaemon::check_stopped(TimePoint now) {
+void HostDaemon::stop_if_settled(TimePoint now) {
   if (!stop_requested_) return;
   // Nothing else is kept here that others wait for: the engine serves on without its agent.
   const bool settled = std::none_of(stagers_.begin(), stagers_.end(), [](const auto& entry) {
     return entry.second->order_pending();
   });
-  if (!settled && now - *stop_requested_ < kSettleAtStop) return;
+  if (!settled && now - *stop_requested_ < kStopSettleTimeout) return;
   LOG(INFO) << "host event=end order_settled=" << (settled ? "yes" : "no");
   flush_decision_log();
   loop_.quit();
@@ -143,20 +143,20 @@
     stager->set_peers(peers_);
     if (!peers_overdue_) stager->wait_for_peers();
     stager->on_load(load_);
-    const auto named = named_.find(model.name);
-    if (named != named_.end()) stager->on_version_named(named->second);
+    const auto named = named_versions_.find(model.name);
+    if (named != named_versions_.end()) stager->on_version_named(named->second);
     stagers_[model.name] = std::move(stager);
   }
 }
 
 void HostDaemon::on_backend_list(const std::vector<BackendRecord>& records,
                                  std::uint64_t revision) {
-  engine_list_.on_listed(records, revision);
+  engine_list_.on_list_read(records, revision);
   update_peers();
 }
 
-void HostDaemon::on_reader_heard(PeerId gateway, std::uint64_t list_revision) {
-  if (!engine_list_.on_reader_heard(list_revision, loop_now())) return;
+void HostDaemon::on_reader_status(PeerId gateway, std::uint64_t list_revision) {
+  if (!engine_list_.on_reader_status(list_revision, loop_now())) return;
   wire::BackendListRequestT request;
   request.known_revision = engine_list_.revision();
   // The first time all agents of the zone ask at once: any gateway of it may have the list.
@@ -169,18 +169,18 @@
     if (subscriber.same_zone) candidates.push_back(peer);
   }
   if (candidates.empty()) return fallback;
-  const std::uint64_t turn = stable_hash(settings_.name) + lists_asked_for_++;
-  return candidates[turn % candidates.size()];
+  const std::uint64_t position = stable_hash(settings_.name) + list_request_count_++;
+  return candidates[position % candidates.size()];
 }
 
 void HostDaemon::on_backend_changes(PeerId gateway, const BackendChanges& changes) {
   using Step = BackendListFollower::Step;
   const Step step = engine_list_.on_changes(changes);
-  if (step == Step::ask_whole) on_reader_heard(gateway, changes.revision);
+  if (step == Step::ask_whole) on_reader_status(gateway, changes.revision);
   if (step == Step::apply) update_peers();
 }
 
-void HostDaemon::go_on_without_peers() {
+void HostDaemon::on_peers_timeout() {
   peers_overdue_ = true;
   if (peers_.empty()) log_line("peers", "peers count=0 state=OVERDUE");
   for (const auto& [model, stager] : stagers_) stager->stop_waiting_for_peers();
@@ -200,7 +200,7 @@
 }
 
 void HostDaemon::on_weights_named(const std::string& model, std::uint64_t version) {
-  std::uint64_t& known = named_[model];
+  std::uint64_t& known = named_versions_[model];
   if (version <= known) return;
   known = version;
   log_line("named",
@@ -208,7 +208,7 @@
   const auto stager = stagers_.find(model);
   if (stager == stagers_.end()) return;
   stager->second->on_version_named(version);
-  tick_soon();
+  schedule_tick();
 }
 
 void HostDaemon::on_frame(PeerId peer, const wire::Frame& frame) {
@@ -236,11 +236,11 @@
     default:
       for (const auto& [model, stager] : stagers_) stager->on_frame(peer, frame);
       // A transfer can begin.
-      if (frame.body_type() == wire::Body::ManifestDocument) tick_soon();
+      if (frame.body_type() == wire::Body::ManifestDocument) schedule_tick();
   }
 }
 
-void HostDaemon::tick_soon() {
+void HostDaemon::schedule_tick() {
   tick_timer_.start_once(Duration::zero(), [this] { tick(); });
 }
 
@@ -248,7 +248,7 @@
   if (!subscribers_.contains(peer)) return;
   credit_allocator_.set_pending_tokens(peer, backlog.unread_tokens());
   if (!backlog_timer_.active()) {
-    backlog_timer_.start_once(kBacklogInterval, [this] { tell_backlogs(); });
+    backlog_timer_.start_once(kBacklogInterval, [this] { send_backlogs(); });
   }
 }
 
@@ -266,10 +266,10 @@
     metrics_.count("pumicemast_host_permits_total", {{"outcome", "returned"}},
                    static_cast<double>(returned));
   }
-  follow_limit();
+  report_limit_change();
 }
 
-void HostDaemon::follow_limit() {
+void HostDaemon::report_limit_change() {
   if (!permits_.take_changed()) return;
   const RateLimit& limit = permits_.limit();
   const std::string rate = limit.named() ? std::to_string(*limit.per_second) : "-";
@@ -277,17 +277,17 @@
            "engine limit_per_s=" + rate + (limit.named() ? " state=LIMITED" : " state=UNLIMITED"));
   metrics_.gauge("pumicemast_host_limit_requests_per_second", {}, limit.per_second.value_or(-1));
   const TimePoint now = loop_now();
-  if (now - limit_told_at_ < kLimitReportInterval) return;
-  limit_told_at_ = now;
+  if (now - limit_reported_at_ < kLimitReportInterval) return;
+  limit_reported_at_ = now;
   send_report(true);
 }
 
-void HostDaemon::tell_backlogs() {
+void HostDaemon::send_backlogs() {
   for (auto& [peer, subscriber] : subscribers_) {
     const std::uint32_t tokens = credit_allocator_.pending_tokens_of_others(peer);
     // Between zones bytes are dear: there it goes with the next report.
-    if (!subscriber.same_zone || tokens == subscriber.told_others_tokens) continue;
-    subscriber.told_others_tokens = tokens;
+    if (!subscriber.same_zone || tokens == subscriber.reported_others_tokens) continue;
+    subscriber.reported_others_tokens = tokens;
     wire::OthersBacklogT message;
     message.engine = settings_.engine.to_string();
     message.unread_tokens = tokens;
@@ -311,23 +311,23 @@
 void HostDaemon::on_subscription(PeerId peer, const wire::ReportSubscription& subscription) {
   const bool is_new = !subscribers_.contains(peer);
   Subscriber& subscriber = subscribers_[peer];
-  subscriber.renewed = loop_now();
+  subscriber.renewed_at = loop_now();
   subscriber.address = subscription.address()->str();
   subscriber.ping = subscription.ping();
   subscriber.zone = subscription.zone() == nullptr ? "" : subscription.zone()->str();
   credit_allocator_.set_demand(peer, subscription.demand());
   subscriber.same_zone = subscriber.zone.empty() || subscriber.zone == settings_.zone;
   const bool reads_list = subscriber.same_zone && subscription.list_revision() > 0;
-  if (reads_list) on_reader_heard(peer, subscription.list_revision());
+  if (reads_list) on_reader_status(peer, subscription.list_revision());
   if (!is_new) return;
-  new_subscribers_.insert(peer);
+  unannounced_subscribers_.insert(peer);
   if (!gateways_timer_.active()) {
-    gateways_timer_.start_once(kGatewayListInterval, [this] { tell_gateways(); });
+    gateways_timer_.start_once(kGatewayListInterval, [this] { send_gateway_lists(); });
   }
   send_report(true);
 }
 
-void HostDaemon::tell_gateways() {
+void HostDaemon::send_gateway_lists() {
   std::set<PeerId> all;
   for (const auto& [subscriber, details] : subscribers_) all.insert(subscriber);
   // Each zone has agents that tell its gateways: the same lists from all would be a flood. Who knew
@@ -335,9 +335,10 @@
   // each of 30 in the zone it takes 0.4 s of an uplink of 7.3 Mbit/s.
   for (const auto& [subscriber, details] : subscribers_) {
     if (!details.same_zone) continue;
-    send_gateway_list(subscriber, new_subscribers_.contains(subscriber) ? all : new_subscribers_);
+    send_gateway_list(
+        subscriber, unannounced_subscribers_.contains(subscriber) ? all : unannounced_subscribers_);
   }
-  new_subscribers_.clear();
+  unannounced_subscribers_.clear();
 }
 
 void HostDaemon::send_gateway_list(PeerId peer, const std::set<PeerId>& gateways) {
@@ -364,11 +365,11 @@
   }
   // The agent answers for one process of the engine; one that does not say when it was started is
   // thought to be the same.
-  const bool started_anew = load_.started_at_ms != 0 && report.started_at_ms != 0 &&
-                            load_.started_at_ms != report.started_at_ms;
-  if (started_anew) permits_.on_restarted(loop_now());
+  const bool engine_restarted = load_.started_at_ms != 0 && report.started_at_ms != 0 &&
+                                load_.started_at_ms != report.started_at_ms;
+  if (engine_restarted) permits_.on_restarted(loop_now());
   load_ = report;
-  follow_limit();
+  report_limit_change();
   send_report(false);
   for (const auto& [model, stager] : stagers_) stager->on_load(report);
 }
@@ -421,31 +422,31 @@
   const bool has_free_slots = report.running + report.queued < capacity_.slots;
   const ReportAudience audience = schedule_.next(report, has_free_slots, forced, now);
   if (!audience.any()) return;
-  forget_silent_subscribers(now);
+  remove_expired_subscribers(now);
   wire::EngineReportT message = encode(report);
   for (const auto& [peer, credit] : allocate_credits(report, audience)) {
     Subscriber& subscriber = subscribers_.at(peer);
     message.credit = credit;
     message.others_unread_tokens = credit_allocator_.pending_tokens_of_others(peer);
-    subscriber.told_others_tokens = message.others_unread_tokens;
+    subscriber.reported_others_tokens = message.others_unread_tokens;
     message.echo = subscriber.ping;
-    message.echo_held_us = static_cast<std::uint32_t>((now - subscriber.renewed).count());
+    message.echo_held_us = static_cast<std::uint32_t>((now - subscriber.renewed_at).count());
     subscriber.ping = 0;
     links_.send(peer, message);
   }
 }
 
-void HostDaemon::forget_subscriber(PeerId peer) {
+void HostDaemon::remove_subscriber(PeerId peer) {
   subscribers_.erase(peer);
   credit_allocator_.remove_gateway(peer);
 }
 
-void HostDaemon::forget_silent_subscribers(TimePoint now) {
-  std::vector<PeerId> silent;
+void HostDaemon::remove_expired_subscribers(TimePoint now) {
+  std::vector<PeerId> expired;
   for (const auto& [peer, subscriber] : subscribers_) {
-    if (now - subscriber.renewed > kSubscriptionLifetime) silent.push_back(peer);
+    if (now - subscriber.renewed_at > kSubscriptionTimeout) expired.push_back(peer);
   }
-  for (const PeerId peer : silent) forget_subscriber(peer);
+  for (const PeerId peer : expired) remove_subscriber(peer);
 }
 
 std::map<PeerId, std::uint32_t> HostDaemon::allocate_credits(const LoadReport& report,
@@ -466,7 +467,7 @@
     stager->on_tick();
     needs_frequent_ticks = needs_frequent_ticks || stager->needs_frequent_ticks();
   }
-  check_stopped(loop_now());
+  stop_if_settled(loop_now());
   tick_timer_.start_once(needs_frequent_ticks ? kTickInterval : kIdleTickInterval,
                          [this] { tick(); });
 }
--- a/src/host/host_daemon.h
+++ b/src/host/host_daemon.h
@@ -46,12 +46,12 @@
 
  private:
   struct Subscriber {
-    TimePoint renewed{};
+    TimePoint renewed_at{};
     std::string address;
     std::string zone;
-    bool same_zone = true;                 ///< It stands in the agent's zone.
-    std::uint64_t ping = 0;                ///< Its last one that was not sent back yet; or 0.
-    std::uint32_t told_others_tokens = 0;  ///< What it was told of the others'.
+    bool same_zone = true;                     ///< It stands in the agent's zone.
+    std::uint64_t ping = 0;                    ///< Its last one that was not sent back yet; or 0.
+    std::uint32_t reported_others_tokens = 0;  ///< What it was told of the others'.
   };
   /// Another gateway of the zone at each call; agents begin at different ones.
   PeerId next_zone_gateway(PeerId fallback);
@@ -70,10 +70,10 @@
   /// A gateway wants to send to the engine, which may have named a limit for all of them.
   void on_permit_request(PeerId peer, const PermitRequest& request);
   /// Tells all gateways of another limit.
-  void follow_limit();
-  void tell_backlogs();
-  void forget_subscriber(PeerId peer);
-  void forget_silent_subscribers(TimePoint now);
+  void report_limit_change();
+  void send_backlogs();
+  void remove_subscriber(PeerId peer);
+  void remove_expired_subscribers(TimePoint now);
   void poll_engine();
   void on_load(const LoadReport& report);
   /// The engine's load, with what the stagers are about to do.
@@ -82,17 +82,17 @@
   wire::EngineReportT encode(const LoadReport& report) const;
   void send_report(bool forced);
   /// Tells the gateways of the zone which others there are.
-  void tell_gateways();
+  void send_gateway_lists();
   void send_gateway_list(PeerId peer, const std::set<PeerId>& gateways);
-  void on_reader_heard(PeerId gateway, std::uint64_t list_revision);
+  void on_reader_status(PeerId gateway, std::uint64_t list_revision);
   void on_backend_changes(PeerId gateway, const BackendChanges& changes);
   /// The engines of the list are this agent's peers.
-  void go_on_without_peers();
+  void on_peers_timeout();
   void update_peers();
   void tick();
-  void tick_soon();
+  void schedule_tick();
   /// Ends a process that was told to, if nothing holds it any more.
-  void check_stopped(TimePoint now);
+  void stop_if_settled(TimePoint now);
   void log_line(const std::string& kind, const std::string& line);
 
   HostSettings settings_;
@@ -107,20 +107,20 @@
   StatusServer metrics_server_;
   std::unique_ptr<WeightOrigin> origin_;
   std::map<std::string, std::unique_ptr<ModelStager>> stagers_;
-  std::map<std::string, std::uint64_t> named_;
+  std::map<std::string, std::uint64_t> named_versions_;
   std::set<StagingPeer> peers_;
   bool peers_overdue_ = false;
   Timer peers_timer_;
   std::map<PeerId, Subscriber> subscribers_;
-  std::set<PeerId> new_subscribers_;  ///< Of whom the others were not told yet.
+  std::set<PeerId> unannounced_subscribers_;  ///< Of whom the others were not told yet.
   EngineList engine_list_;
-  std::uint64_t lists_asked_for_ = 0;
+  std::uint64_t list_request_count_ = 0;
   LoadReport load_;
   CreditAllocator credit_allocator_;
   EngineCapacity capacity_;
   ReportSchedule schedule_;
   PermitIssuer permits_;
-  TimePoint limit_told_at_{};
+  TimePoint limit_reported_at_{};
   std::optional<TimePoint> stop_requested_;
   Timer poll_timer_;
   Timer backlog_timer_;
--- a/tests/gateway/peers/backend_list_relay_test.cpp
+++ b/tests/gateway/peers/backend_list_relay_test.cpp
@@ -142,7 +142,7 @@
         const bool lost = random() % 3 == 0;
         if (!lost) agent.on_changes(over_the_wire(*changes));
       }
-      if (agent.on_reader_heard(reader.revision(), now_)) {
+      if (agent.on_reader_status(reader.revision(), now_)) {
         BackendChanges whole{0, reader.revision(), true, {}};
         for (const auto& [id, at] : listed) whole.entries.push_back({record(id, at), false});
         agent.on_changes(over_the_wire(whole));
@@ -155,17 +155,17 @@
 
   void an_agent_reads_the_store_again_when_no_gateway_tells() {
     EngineList agent;
-    CPPUNIT_ASSERT(!agent.told_by_gateways(now_));
-    agent.on_reader_heard(7, now_);
-    CPPUNIT_ASSERT(agent.told_by_gateways(now_ + seconds(3)));
-    CPPUNIT_ASSERT(!agent.told_by_gateways(now_ + seconds(5)));
+    CPPUNIT_ASSERT(!agent.relayed_by_gateways(now_));
+    agent.on_reader_status(7, now_);
+    CPPUNIT_ASSERT(agent.relayed_by_gateways(now_ + seconds(3)));
+    CPPUNIT_ASSERT(!agent.relayed_by_gateways(now_ + seconds(5)));
   }
 
   void an_old_answer_of_the_store_undoes_nothing() {
     EngineList agent;
-    agent.on_listed({record("a", 5)}, 5);
+    agent.on_list_read({record("a", 5)}, 5);
     agent.on_changes({5, 6, false, {{record("b", 6), false}}});
-    agent.on_listed({record("a", 5)}, 5);
+    agent.on_list_read({record("a", 5)}, 5);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, agent.records().size());
   }
 };
--- a/tests/host/host_cores_test.cpp
+++ b/tests/host/host_cores_test.cpp
@@ -10,10 +10,10 @@
 /// The small cores of the agent beside an engine.
 class HostCoresTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HostCoresTest);
-  CPPUNIT_TEST(turns_are_spread_and_end_before_the_changeover);
+  CPPUNIT_TEST(starts_are_spread_and_end_before_the_changeover);
   CPPUNIT_TEST(a_late_engine_starts_at_once);
-  CPPUNIT_TEST(gateways_get_notice_while_there_is_time);
-  CPPUNIT_TEST(an_engine_of_forbidden_weights_does_not_wait_for_its_turn);
+  CPPUNIT_TEST(gateways_get_notice_unless_it_delays_the_last_start);
+  CPPUNIT_TEST(an_engine_with_expired_weights_does_not_wait_for_its_start);
   CPPUNIT_TEST(an_unmeasured_link_is_assumed_to_be_narrow);
   CPPUNIT_TEST(a_narrow_link_carries_one_chunk_at_a_time);
   CPPUNIT_TEST(a_link_that_recovers_is_used_again);
@@ -21,7 +21,7 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void turns_are_spread_and_end_before_the_changeover() {
+  void starts_are_spread_and_end_before_the_changeover() {
     std::vector<PeerId> agents;
     for (PeerId id = 1; id <= 20; ++id) agents.push_back(id * 7919);
     const TimePoint named(seconds(100));
@@ -52,7 +52,7 @@
     CPPUNIT_ASSERT(scheduled_start(5, {1, 2, 5}, 2, named, now, {}) == now);
   }
 
-  void gateways_get_notice_while_there_is_time() {
+  void gateways_get_notice_unless_it_delays_the_last_start() {
     const TimePoint named(seconds(100));
     StartScheduleOptions options;
     options.notice = milliseconds(600);
@@ -64,7 +64,7 @@
     CPPUNIT_ASSERT(start >= late && start <= named + milliseconds(6880));
   }
 
-  void an_engine_of_forbidden_weights_does_not_wait_for_its_turn() {
+  void an_engine_with_expired_weights_does_not_wait_for_its_start() {
     std::vector<PeerId> agents;
     for (PeerId id = 1; id <= 20; ++id) agents.push_back(id * 7919);
     const TimePoint named(seconds(103));
