--- a/src/host/engine_list.cpp
+++ b/src/host/engine_list.cpp
@@ -3,9 +3,10 @@
 namespace pumicemast {
 namespace {
 
-/// Gateways that read the list say so twice a second, and are replaced within 1.5 s.
+/// Gateways that read the list announce that twice a second, and are replaced within 1.5 s.
 constexpr Duration kReaderTimeout = seconds(4);
-/// The whole list comes within the zone in some milliseconds.
+/// Minimum time between two requests for the full list, which arrives in a few milliseconds within
+/// a zone.
 constexpr Duration kListRequestInterval = milliseconds(500);
 
 }  // namespace
@@ -16,7 +17,7 @@
 }
 
 void EngineList::on_list_read(const std::vector<BackendRecord>& records, std::uint64_t revision) {
-  // The store may give an answer that is seconds old.
+  // The answer of the store may be seconds old.
   if (follower_.revision() > revision) return;
   follower_.on_read(revision);
   replace(records);
--- a/src/host/engine_list.h
+++ b/src/host/engine_list.h
@@ -1,9 +1,8 @@
-/// The list of back ends as an agent knows it: read from the store, or told by gateways that read
-/// it.
+/// An agent's copy of the list of back ends, read from the store or relayed by gateways.
 ///
-/// A decision core: no I/O. While a gateway of the zone reads the list, its agents leave the store
-/// alone: a list of hundreds of engines, read by each agent every two seconds, would fill the links
-/// between regions.
+/// A decision core: no I/O. While a gateway of the zone reads the list, the agents of the zone do
+/// not: a list of hundreds of engines, read by each agent every two seconds, would saturate the
+/// links between regions.
 #pragma once
 
 #include <map>
@@ -18,14 +17,14 @@
 
 class EngineList {
  public:
-  /// The whole list was read from the store.
+  /// The full list was read from the store.
   void on_list_read(const std::vector<BackendRecord>& records, std::uint64_t revision);
-  /// A gateway passes on what changed.
+  /// A gateway relays changes of the list.
   BackendListFollower::Step on_changes(const BackendChanges& changes);
-  /// A gateway of the zone reads the list, which is of that revision there.
-  /// @return whether to ask it for the whole list now.
+  /// A gateway of the zone reads the list and has it at `revision`.
+  /// @return whether to request the full list now.
   bool on_reader_status(std::uint64_t revision, TimePoint now);
-  /// Whether gateways tell what changes.
+  /// Whether gateways relay changes of the list.
   bool relayed_by_gateways(TimePoint now) const;
 
   std::uint64_t revision() const { return follower_.revision(); }
--- a/src/host/host_daemon.cpp
+++ b/src/host/host_daemon.cpp
@@ -14,21 +14,22 @@
 constexpr Duration kTickInterval = milliseconds(20);
 constexpr Duration kIdleTickInterval = milliseconds(100);
 constexpr Duration kSweepInterval = milliseconds(500);
-/// Changes of gateways' backlogs are gathered for so long before they are passed on.
+/// Changes of the gateways' backlogs are collected for this long before they are sent.
 constexpr Duration kBacklogInterval = milliseconds(8);
-/// Between two reports that are sent only for another limit of the engine.
+/// Minimum time between two reports that are sent only for a changed rate limit of the engine.
 constexpr Duration kLimitReportInterval = milliseconds(100);
-/// Neither gateways nor the store name other engines within so long: weights are drawn all the
-/// same.
+/// Without a list of engines from gateways or the store, weights are downloaded after this time.
 constexpr Duration kPeersTimeout = seconds(10);
-/// New subscriptions are gathered for so long before gateways are told of each other.
+/// New subscriptions are collected for this long before gateways are informed of each other.
 constexpr Duration kGatewayListInterval = milliseconds(300);
 constexpr Duration kSubscriptionTimeout = seconds(6);
 constexpr Duration kUnansweredLimit = seconds(2);
-/// A stopping agent waits so long for an order to be settled: the next process knows nothing of it,
-/// and would write over what it may still take. A few attempts of half a second each.
+/// A stopping agent waits at most this long for a start order to be settled, because the next
+/// process does not know of the order and would overwrite the version that the engine may still
+/// activate. Enough for a few attempts of half a second each.
 constexpr Duration kStopSettleTimeout = seconds(2);
-/// In one connection: twice what uploads may leave there. A peer that reads leaves a few chunks.
+/// Limit of one connection's send queue: twice what uploads may queue there. A peer that reads has
+/// only a few chunks queued.
 constexpr std::size_t kQueueLimitBytes = 8U << 20U;
 constexpr std::uint32_t kLogLinesPerSecond = 20;
 constexpr int kStatusOk = 200;
@@ -97,7 +98,7 @@
 
 void HostDaemon::stop_if_settled(TimePoint now) {
   if (!stop_requested_) return;
-  // Nothing else is kept here that others wait for: the engine serves on without its agent.
+  // Nothing else delays the end: the engine continues to serve without its agent.
   const bool settled = std::none_of(stagers_.begin(), stagers_.end(), [](const auto& entry) {
     return entry.second->order_pending();
   });
@@ -159,7 +160,7 @@
   if (!engine_list_.on_reader_status(list_revision, loop_now())) return;
   wire::BackendListRequestT request;
   request.known_revision = engine_list_.revision();
-  // The first time all agents of the zone ask at once: any gateway of it may have the list.
+  // At first all agents of the zone request the list at once; any gateway of the zone may have it.
   links_.send(request.known_revision == 0 ? next_zone_gateway(gateway) : gateway, request);
 }
 
@@ -194,7 +195,7 @@
     peers.insert({Address{engine.address.host, settings_.internal_address.port}, engine.zone,
                   region == settings_.regions_of_zones.end() ? engine.zone : region->second});
   }
-  if (peers.empty()) return;  // A list that isn't filled yet.
+  if (peers.empty()) return;  // The list is not filled yet.
   peers_ = std::move(peers);
   for (const auto& [model, stager] : stagers_) stager->set_peers(peers_);
 }
@@ -235,7 +236,7 @@
       return;
     default:
       for (const auto& [model, stager] : stagers_) stager->on_frame(peer, frame);
-      // A transfer can begin.
+      // A transfer may start with the manifest.
       if (frame.body_type() == wire::Body::ManifestDocument) schedule_tick();
   }
 }
@@ -285,7 +286,7 @@
 void HostDaemon::send_backlogs() {
   for (auto& [peer, subscriber] : subscribers_) {
     const std::uint32_t tokens = credit_allocator_.pending_tokens_of_others(peer);
-    // Between zones bytes are dear: there it goes with the next report.
+    // Traffic between zones is expensive: other zones get the value with the next report.
     if (!subscriber.same_zone || tokens == subscriber.reported_others_tokens) continue;
     subscriber.reported_others_tokens = tokens;
     wire::OthersBacklogT message;
@@ -330,9 +331,9 @@
 void HostDaemon::send_gateway_lists() {
   std::set<PeerId> all;
   for (const auto& [subscriber, details] : subscribers_) all.insert(subscriber);
-  // Each zone has agents that tell its gateways: the same lists from all would be a flood. Who knew
-  // the others already is told of the new ones: the whole list of 149 gateways is 12 KB, and to
-  // each of 30 in the zone it takes 0.4 s of an uplink of 7.3 Mbit/s.
+  // Each zone has agents that inform its gateways; the same lists from all agents would be too much
+  // traffic. Gateways that know the others get the new ones only: the full list of 149 gateways has
+  // 12 KB, and sending it to each of 30 in the zone takes 0.4 s of an uplink of 7.3 Mbit/s.
   for (const auto& [subscriber, details] : subscribers_) {
     if (!details.same_zone) continue;
     send_gateway_list(
@@ -363,8 +364,8 @@
     log_line("engine",
              std::string("engine state=") + (report.alive ? "LOST->ANSWERING" : "ANSWERING->LOST"));
   }
-  // The agent answers for one process of the engine; one that does not say when it was started is
-  // thought to be the same.
+  // Permits are issued for one process of the engine. An engine that does not report its start time
+  // is assumed to be the same process.
   const bool engine_restarted = load_.started_at_ms != 0 && report.started_at_ms != 0 &&
                                 load_.started_at_ms != report.started_at_ms;
   if (engine_restarted) permits_.on_restarted(loop_now());
@@ -377,7 +378,7 @@
 LoadReport HostDaemon::current_load(TimePoint now) {
   LoadReport report = load_;
   for (const auto& [model, stager] : stagers_) {
-    // From the decision on, and not only from the engine's next report.
+    // The engine counts as busy from the decision on, not only from its next load report.
     if (stager->starting() && report.weight_version != stager->staged_version()) {
       report.busy = true;
     }
@@ -456,7 +457,7 @@
     if (subscriber.same_zone ? audience.same_zone : audience.other_zones) gateways.push_back(peer);
   }
   capacity_.occupied = report.running + report.queued;
-  // Under a limit permits take the place of credits, also at gateways that have not heard of it.
+  // Under a rate limit permits replace credits, also at gateways that do not know of the limit yet.
   if (permits_.limit().named()) capacity_.occupied = std::max(capacity_.occupied, capacity_.slots);
   return credit_allocator_.allocate(capacity_, gateways);
 }
--- a/src/host/host_daemon.h
+++ b/src/host/host_daemon.h
@@ -1,4 +1,4 @@
-/// The agent beside an engine: brings weights to it and tells gateways how loaded it is.
+/// The agent beside an engine: stages weights at it and reports its load to gateways.
 #pragma once
 
 #include <map>
@@ -23,7 +23,7 @@
 
 namespace pumicemast {
 
-/// Makes the origin's client once its address is known.
+/// Creates the client of the origin once its address is known.
 class WeightOriginFactory {
  public:
   virtual ~WeightOriginFactory() = default;
@@ -39,9 +39,9 @@
 
   /// Fails with ErrorCode::unavailable when an address cannot be bound.
   leaf::result<void> start();
-  /// Ends the process, once no order to the engine may still be carried out.
+  /// Ends the process once no start order may still be carried out, or after a time-out.
   void terminate();
-  /// Takes over what may change while running; addresses and names may not.
+  /// Applies the settings that may change at run time; addresses and names may not.
   void reload(const HostSettings& settings);
 
  private:
@@ -49,13 +49,13 @@
     TimePoint renewed_at{};
     std::string address;
     std::string zone;
-    bool same_zone = true;                     ///< It stands in the agent's zone.
-    std::uint64_t ping = 0;                    ///< Its last one that was not sent back yet; or 0.
-    std::uint32_t reported_others_tokens = 0;  ///< What it was told of the others'.
+    bool same_zone = true;                     ///< In the agent's zone.
+    std::uint64_t ping = 0;                    ///< Latest one not echoed yet; 0 for none.
+    std::uint32_t reported_others_tokens = 0;  ///< Pending tokens last sent to it.
   };
-  /// Another gateway of the zone at each call; agents begin at different ones.
+  /// Returns another gateway of the zone at each call; agents start with different ones.
   PeerId next_zone_gateway(PeerId fallback);
-  /// New requests that each gateway may send until its next report; only for those that get one.
+  /// Number of new requests that each gateway of `audience` may send until its next report.
   std::map<PeerId, std::uint32_t> allocate_credits(const LoadReport& report,
                                                    ReportAudience audience);
 
@@ -67,31 +67,31 @@
   void on_subscription(PeerId peer, const wire::ReportSubscription& subscription);
   void on_description(const wire::EngineDescription& description);
   void on_prompt_backlog(PeerId peer, const wire::PromptBacklog& backlog);
-  /// A gateway wants to send to the engine, which may have named a limit for all of them.
+  /// A gateway needs permits for an engine whose rate limit applies to all gateways together.
   void on_permit_request(PeerId peer, const PermitRequest& request);
-  /// Tells all gateways of another limit.
+  /// Reports a changed rate limit to all gateways.
   void report_limit_change();
   void send_backlogs();
   void remove_subscriber(PeerId peer);
   void remove_expired_subscribers(TimePoint now);
   void poll_engine();
   void on_load(const LoadReport& report);
-  /// The engine's load, with what the stagers are about to do.
+  /// The engine's last load report, with starts that the stagers have ordered or scheduled.
   LoadReport current_load(TimePoint now);
   std::uint32_t largest_zone_gateways() const;
   wire::EngineReportT encode(const LoadReport& report) const;
   void send_report(bool forced);
-  /// Tells the gateways of the zone which others there are.
+  /// Sends the gateways of the zone the list of all subscribed gateways.
   void send_gateway_lists();
   void send_gateway_list(PeerId peer, const std::set<PeerId>& gateways);
   void on_reader_status(PeerId gateway, std::uint64_t list_revision);
   void on_backend_changes(PeerId gateway, const BackendChanges& changes);
-  /// The engines of the list are this agent's peers.
   void on_peers_timeout();
+  /// Uses the agents of the listed engines of the service as peers.
   void update_peers();
   void tick();
   void schedule_tick();
-  /// Ends a process that was told to, if nothing holds it any more.
+  /// Ends a process that was terminated, once all start orders are settled.
   void stop_if_settled(TimePoint now);
   void log_line(const std::string& kind, const std::string& line);
 
@@ -112,7 +112,7 @@
   bool peers_overdue_ = false;
   Timer peers_timer_;
   std::map<PeerId, Subscriber> subscribers_;
-  std::set<PeerId> unannounced_subscribers_;  ///< Of whom the others were not told yet.
+  std::set<PeerId> unannounced_subscribers_;  ///< Not sent to the other gateways yet.
   EngineList engine_list_;
   std::uint64_t list_request_count_ = 0;
   LoadReport load_;
--- a/src/host/host_settings.h
+++ b/src/host/host_settings.h
@@ -1,4 +1,4 @@
-/// Checked settings of the agent beside an engine.
+/// Validated settings of the agent beside an engine.
 #pragma once
 
 #include <map>
@@ -17,16 +17,17 @@
   std::string region;
   std::map<std::string, std::string> regions_of_zones;
   std::string charts;
-  Address internal_address;  ///< Where agents and gateways reach this one.
+  Address internal_address;  ///< For connections of agents and gateways.
   Address metrics_listen;
   Address engine;
   std::string service;
-  Duration changeover = seconds(8);    ///< Older weights may start requests after a naming.
-  double link_bytes_per_second = 0;    ///< Of this machine; 0 when it is not stated.
-  double uplink_bytes_per_second = 0;  ///< Share of the link for weights; 0 for no limit.
+  /// How long after a version was named requests may still start on older weights.
+  Duration changeover = seconds(8);
+  double link_bytes_per_second = 0;    ///< Of this machine; 0 if not configured.
+  double uplink_bytes_per_second = 0;  ///< Limit for weights; 0 for none.
   Duration report_interval = milliseconds(120);
 
-  /// Reads and checks everything; faults go to the settings' findings.
+  /// Reads and validates all settings; errors are added to the findings of `settings`.
   static HostSettings read(Settings& settings);
   std::string process_name() const { return name; }
 };
--- a/tests/host/host_cores_test.cpp
+++ b/tests/host/host_cores_test.cpp
@@ -7,7 +7,7 @@
 
 namespace pumicemast {
 
-/// The small cores of the agent beside an engine.
+/// Decision cores of the host agent: the start schedule and the link window.
 class HostCoresTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HostCoresTest);
   CPPUNIT_TEST(starts_are_spread_and_end_before_the_changeover);
@@ -25,19 +25,19 @@
     std::vector<PeerId> agents;
     for (PeerId id = 1; id <= 20; ++id) agents.push_back(id * 7919);
     const TimePoint named(seconds(100));
-    const TimePoint now = named + seconds(2);  // Before anyone's turn.
+    const TimePoint now = named + seconds(2);  // Before the first scheduled start.
     StartScheduleOptions options;
     options.notice = Duration::zero();
     std::set<TimePoint> starts;
     for (const PeerId agent : agents) {
       const TimePoint start = scheduled_start(agent, agents, 2, named, now, options);
       CPPUNIT_ASSERT(start >= now);
-      // Gateways send nothing to older weights from 7 s on.
+      // Gateways send no requests to older weights from 7 s on.
       CPPUNIT_ASSERT(start < named + milliseconds(6900));
       starts.insert(start);
     }
     CPPUNIT_ASSERT_EQUAL(agents.size(), starts.size());
-    // Whose turn has passed starts as soon as it can; the others keep theirs.
+    // An engine whose scheduled time has passed starts at once; the others keep their time.
     const TimePoint later = named + seconds(4);
     for (const PeerId agent : agents) {
       const TimePoint start = scheduled_start(agent, agents, 2, named, now, options);
@@ -56,7 +56,7 @@
     const TimePoint named(seconds(100));
     StartScheduleOptions options;
     options.notice = milliseconds(600);
-    // The only agent's turn has passed.
+    // The scheduled time of the only agent has passed.
     const TimePoint early = named + seconds(5);
     CPPUNIT_ASSERT(scheduled_start(5, {5}, 2, named, early, options) == early + milliseconds(600));
     const TimePoint late = named + milliseconds(6700);
@@ -87,7 +87,7 @@
   void a_narrow_link_carries_one_chunk_at_a_time() {
     LinkWindow window(4);
     window.on_completed(milliseconds(100));
-    CPPUNIT_ASSERT_EQUAL(1U, window.limit(milliseconds(700)));  // One has been under way for long.
+    CPPUNIT_ASSERT_EQUAL(1U, window.limit(milliseconds(700)));  // The oldest exchange is slow.
     for (int exchange = 0; exchange < 20; ++exchange) window.on_completed(milliseconds(900));
     CPPUNIT_ASSERT_EQUAL(1U, window.limit(Duration::zero()));
   }
@@ -99,8 +99,8 @@
     CPPUNIT_ASSERT_EQUAL(4U, window.limit(Duration::zero()));
   }
 
-  /// An eighth of the usual rate: a chunk alone takes 215 ms, ten together hold requests up for 2
-  /// s.
+  /// At an eighth of the usual rate a single chunk takes 215 ms, and ten at once delay requests by
+  /// 2 s.
   void a_narrow_link_stays_narrow_when_single_chunks_pass() {
     LinkWindow window(10);
     for (int exchange = 0; exchange < 3; ++exchange) window.on_completed(milliseconds(1000));
