--- a/src/host/credits/credit_allocator.cpp
+++ b/src/host/credits/credit_allocator.cpp
@@ -26,7 +26,7 @@
 }
 
 std::uint32_t CreditAllocator::prompt_allowance(const EngineCapacity& capacity) const {
-  const double readable = kMaximumBacklogPasses * capacity.prompt_chunk;
+  const double readable = kMaximumBacklogPasses * capacity.prefill_chunk_tokens;
   const double pending = pending_tokens();
   if (pending >= readable) return 0;
   return static_cast<std::uint32_t>((readable - pending) /
--- a/src/host/credits/credit_allocator.h
+++ b/src/host/credits/credit_allocator.h
@@ -13,10 +13,10 @@
 namespace pumicemast {
 
 struct EngineCapacity {
-  std::uint32_t slots = 0;            ///< 0 while the engine's profile is unknown.
-  std::uint32_t occupied = 0;         ///< Requests running or queued at the engine.
-  std::uint32_t prompt_chunk = 2048;  ///< Prompt tokens per prefill pass.
-  double usual_prompt_tokens = 1000;  ///< Length of a typical prompt.
+  std::uint32_t slots = 0;                    ///< 0 while the engine's profile is unknown.
+  std::uint32_t occupied = 0;                 ///< Requests running or queued at the engine.
+  std::uint32_t prefill_chunk_tokens = 2048;  ///< Prompt tokens per prefill pass.
+  double usual_prompt_tokens = 1000;          ///< Length of a typical prompt.
 };
 
 class CreditAllocator {
--- a/src/host/host_daemon.cpp
+++ b/src/host/host_daemon.cpp
@@ -128,7 +128,7 @@
 void HostDaemon::on_engine_profile(const EngineProfile& profile, const OriginProfile& origin) {
   if (!origin_) origin_ = origin_factory_->make(origin);
   capacity_.slots = profile.slots;
-  capacity_.prompt_chunk = profile.prompt_chunk;
+  capacity_.prefill_chunk_tokens = profile.prompt_chunk;
   capacity_.usual_prompt_tokens = profile.usual_prompt_tokens;
   engine_->set_layer_count(profile.layers);
   for (const ModelProfile& model : profile.models) {
--- a/src/host/staging/engine_stager.cpp
+++ b/src/host/staging/engine_stager.cpp
@@ -10,10 +10,10 @@
 namespace {
 
 /// A verification older than this is repeated before the engine is started.
-constexpr Duration kCheckLifetime = milliseconds(1500);
+constexpr Duration kMaximumCheckAge = milliseconds(1500);
 /// The same while a start order waits for requests to begin or has to be retried. A chunk that
 /// becomes corrupt must be found within 3 s.
-constexpr Duration kCheckLifetimeAtOrder = kCheckLifetime + StartReadinessOptions{}.max_wait;
+constexpr Duration kMaximumCheckAgeAtOrder = kMaximumCheckAge + StartReadinessOptions{}.max_wait;
 /// Interval between retries of an unanswered start order. Each retry costs a call to the engine,
 /// but the engine serves no requests until an order succeeds.
 constexpr Duration kOrderRetryInterval = milliseconds(100);
@@ -94,7 +94,7 @@
   if (state_ == "FETCHING") {
     write_missing();
   } else if (state_ == "READY" && scheduled_start_ && now >= *scheduled_start_) {
-    if (now - checked_at_ > kCheckLifetime) {
+    if (now - checked_at_ > kMaximumCheckAge) {
       apply_event("check_expired");
       check_staged(0);
     } else {
@@ -242,7 +242,7 @@
 }
 
 void EngineStager::order_start(TimePoint now) {
-  if (now - checked_at_ > kCheckLifetimeAtOrder) {
+  if (now - checked_at_ > kMaximumCheckAgeAtOrder) {
     apply_event("start_failed");
     check_staged(0);
     return;
