--- a/src/host/staging/model_stager.h
+++ b/src/host/staging/model_stager.h
@@ -112,12 +112,12 @@
   std::set<StagingPeer> peers_;
   bool waiting_for_peers_ = false;
   std::vector<PeerId> agents_;  ///< Ids of `peers_`.
-  /// Content of the engine's staging memory when this process started, and orders of an earlier
-  /// process that may still be pending.
+  /// Content of the engine's staging memory when this process started.
   StagedInventory inventory_;
+  /// Decides whether an order of an earlier process may still be pending.
   StagingRecovery recovery_;
-  std::map<std::uint64_t, std::unique_ptr<SwarmManifestFetcher>>
-      earlier_fetchers_;  ///< By version.
+  /// Fetchers of the manifests of earlier versions, by version.
+  std::map<std::uint64_t, std::unique_ptr<SwarmManifestFetcher>> earlier_fetchers_;
   /// By version; manifests of the versions that may be staged, until recovery is done.
   std::map<std::uint64_t, WeightManifest> known_manifests_;
   enum class RecoveryState {
