--- a/src/host/download/chunk_uploads.h
+++ b/src/host/download/chunk_uploads.h
@@ -1,7 +1,7 @@
-/// Chunks on their way to others, from the request to the acknowledgement.
+/// Tracks chunks that are uploaded to peers, from the request to the acknowledgement.
 ///
-/// A decision core: no I/O. Knows how long each has been on the link, which tells a narrow link
-/// from a chunk that waits for its turn at the pacer.
+/// A decision core: no I/O. Measures how long each chunk has been in transmission, which
+/// distinguishes a slow link from a chunk that waits in the pacer.
 #pragma once
 
 #include <map>
@@ -19,38 +19,39 @@
 
 class ChunkUploads {
  public:
-  /// A peer asked for a chunk.
-  void on_asked(PeerChunk upload, TimePoint now) { asked_.emplace(upload, now); }
-  /// It needs the chunk no more, or was refused.
-  void on_declined(PeerChunk upload) { asked_.erase(upload); }
+  /// A peer requested a chunk.
+  void on_requested(PeerChunk upload, TimePoint now) { requested_at_.emplace(upload, now); }
+  /// The peer cancelled its request, or the request was refused.
+  void on_request_dropped(PeerChunk upload) { requested_at_.erase(upload); }
 
-  struct Begun {
-    TimePoint asked_at{};  ///< Zero when that is not known.
+  struct Started {
+    TimePoint requested_at{};  ///< Zero when it is not known.
   };
-  /// The chunk's turn came.
-  /// @return nothing when it is on its way to that peer already.
-  std::optional<Begun> begin(PeerChunk upload, TimePoint now);
-  /// The link took it from the pacer.
-  void on_link_took(PeerChunk upload, TimePoint now);
-  /// It was acknowledged, or given up.
-  /// @return how long it was on the link; nothing when it was not under way.
-  std::optional<Duration> end(PeerChunk upload, TimePoint now);
-
-  /// Uploads under way to a peer that is lost; its requests are forgotten.
-  std::vector<PeerChunk> lose(PeerId peer);
-  /// Uploads that were not acknowledged for so long that they no longer hold their slots.
+  /// The upload gets a slot.
+  /// @return nothing when the chunk is already in flight to that peer.
+  std::optional<Started> start(PeerChunk upload, TimePoint now);
+  /// The pacer passed the chunk to the link.
+  void on_transmission_started(PeerChunk upload, TimePoint now);
+  /// The upload was acknowledged or abandoned.
+  /// @return how long the chunk was in transmission; nothing when it was not in flight.
+  std::optional<Duration> finish(PeerChunk upload, TimePoint now);
+
+  /// Drops the requests of a lost peer.
+  /// @return the uploads in flight to it; they remain in flight until finish().
+  std::vector<PeerChunk> on_peer_lost(PeerId peer);
+  /// Uploads that were not acknowledged in time and no longer occupy a slot.
   std::vector<PeerChunk> expired(TimePoint now) const;
-  /// How long the oldest has been on the link; zero when there is none.
-  Duration oldest_on_link(TimePoint now) const;
+  /// Longest time that a chunk has been in transmission; zero when there is none.
+  Duration oldest_transmission_age(TimePoint now) const;
 
  private:
   struct Upload {
-    TimePoint begun{};
-    std::optional<TimePoint> on_link;  ///< Since when the uplink has had it.
+    TimePoint started_at{};
+    std::optional<TimePoint> transmitting_since;  ///< When the pacer passed it to the link.
   };
 
-  std::map<PeerChunk, TimePoint> asked_;
-  std::map<PeerChunk, Upload> under_way_;
+  std::map<PeerChunk, TimePoint> requested_at_;
+  std::map<PeerChunk, Upload> in_flight_;
 };
 
 }  // namespace pumicemast
--- a/tests/host/staging/late_start_order_test.cpp
+++ b/tests/host/staging/late_start_order_test.cpp
@@ -4,53 +4,49 @@
 
 namespace pumicemast {
 
-/// Callers got tokens that were made from weights of two versions.
+/// Guards against an engine that serves a mixture of two versions after a late start order.
 ///
-/// An engine had been started anew. Its agent verified all chunks of version 8 there and ordered
-/// it to start them; the engine gave no answer. Version 9 was named 0.35 s later. The agent took
-/// the order for carried out 150 ms after sending it, and wrote chunks of version 9 over those of
-/// version 8. The engine carried the order out 2.7 s after it was sent, and took what lay there.
-///
-/// Evidence: the agent's lines tell the order and no outcome; the operators' log has the order end
-/// 2.7 s after it was sent; the engine served as version 8 from then on, while the 96 chunks of
-/// version 9 came in, 0.4 to 4.3 s after the order, each to be written at once. Orders that got an
-/// answer preceded no such token.
+/// A restarted engine did not answer the order to start version 8, whose chunks its agent had
+/// verified. Version 9 was named 0.35 s later. The agent assumed 150 ms after sending the order
+/// that it had been carried out, and overwrote chunks of version 8 with those of version 9 as they
+/// arrived, 0.4 to 4.3 s after the order. The engine carried the order out 2.7 s after it was sent,
+/// activated the mixture, and served it as version 8. Only unanswered orders led to this.
 class LateStartOrderTest : public tests::StagingTest {
   CPPUNIT_TEST_SUITE(LateStartOrderTest);
-  CPPUNIT_TEST(an_order_carried_out_late_finds_what_it_names);
-  CPPUNIT_TEST(what_an_unanswered_order_may_take_stays);
-  CPPUNIT_TEST(an_engine_with_an_unanswered_order_is_leaving);
-  CPPUNIT_TEST(a_machine_that_stood_still_reads_back_again_before_it_orders);
+  CPPUNIT_TEST(a_late_order_activates_the_version_it_names);
+  CPPUNIT_TEST(chunks_of_an_unanswered_order_are_not_overwritten);
+  CPPUNIT_TEST(an_engine_with_an_unanswered_order_is_reported_as_leaving);
+  CPPUNIT_TEST(a_paused_machine_verifies_again_before_it_orders);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void an_order_carried_out_late_finds_what_it_names() {
+  void a_late_order_activates_the_version_it_names() {
     engine_->leave_unanswered(1);
     CPPUNIT_ASSERT(run_until([&] { return engine_->late_orders() == 1; }));
     name_second();
     run_for(milliseconds(600));
-    engine_->carry_out_late_order();
-    assert_only_whole_versions_were_taken();
+    engine_->execute_late_order();
+    assert_only_complete_versions_activated();
     CPPUNIT_ASSERT(run_until([&] { return engine_->serving() == kSecond; }));
-    assert_only_whole_versions_were_taken();
+    assert_only_complete_versions_activated();
   }
 
-  void what_an_unanswered_order_may_take_stays() {
+  void chunks_of_an_unanswered_order_are_not_overwritten() {
     engine_->leave_unanswered(1000);
     CPPUNIT_ASSERT(run_until([&] { return engine_->late_orders() > 0; }));
     name_second();
     run_for(milliseconds(1000));
     CPPUNIT_ASSERT(engine_->holds(kFirst, kChunks));
-    engine_->carry_out_late_order();
-    assert_only_whole_versions_were_taken();
+    engine_->execute_late_order();
+    assert_only_complete_versions_activated();
     engine_->leave_unanswered(0);
     CPPUNIT_ASSERT(run_until([&] { return engine_->serving() == kSecond; }));
-    assert_only_whole_versions_were_taken();
+    assert_only_complete_versions_activated();
   }
 
-  /// Gateways that take such an engine for free send it requests, which may begin on old weights
-  /// late: one did 8.1 s after newer ones were named, on an engine with an unanswered order.
-  void an_engine_with_an_unanswered_order_is_leaving() {
+  /// Gateways that consider such an engine available send it requests, which may begin on old
+  /// weights too late: one began 8.1 s after newer weights were named.
+  void an_engine_with_an_unanswered_order_is_reported_as_leaving() {
     engine_->leave_unanswered(1000);
     CPPUNIT_ASSERT(run_until([&] { return engine_->late_orders() > 0; }));
     name_second();
@@ -60,19 +56,19 @@
     }
   }
 
-  /// Between the reading back and the order an agent waits for requests to begin. When its machine
-  /// stood still meanwhile, what it had read back was too old to tell that a chunk had turned bad.
-  void a_machine_that_stood_still_reads_back_again_before_it_orders() {
+  /// Between the verification and the order an agent waits for requests to begin. If its machine
+  /// was paused meanwhile, the verification was too old to detect that a chunk had become corrupt.
+  void a_paused_machine_verifies_again_before_it_orders() {
     settings_.changeover = seconds(1);
     CPPUNIT_ASSERT(run_until([&] { return stager_->serving(); }));
-    prompts_wait_ = true;
+    prompts_waiting_ = true;
     name_second();
     CPPUNIT_ASSERT(run_until([&] { return stager_->starting(); }));
     CPPUNIT_ASSERT_EQUAL(kFirst, engine_->serving());
-    engine_->spoil(3);
+    engine_->corrupt(3);
     g_usleep(2600000);
     CPPUNIT_ASSERT(run_until([&] { return engine_->serving() == kSecond; }));
-    assert_only_whole_versions_were_taken();
+    assert_only_complete_versions_activated();
   }
 };
 
--- a/tests/support/staging_test.h
+++ b/tests/support/staging_test.h
@@ -1,4 +1,4 @@
-/// A fixture with one agent's staging of a model, before an engine and an origin in memory.
+/// A fixture with one agent's staging of a model and an in-memory engine and origin.
 #pragma once
 
 #include <cppunit/TestFixture.h>
@@ -18,7 +18,7 @@
     settings_ = {};
     settings_.name = "agent";
     settings_.internal_address = {"127.0.0.1", 1};
-    prompts_wait_ = false;
+    prompts_waiting_ = false;
     engine_ = std::make_unique<ScriptedEngine>();
     origin_ = std::make_unique<ScriptedOrigin>(kChunks);
     origin_->set_newest(kFirst);
@@ -33,15 +33,15 @@
 
  protected:
   static constexpr ChunkIndex kChunks = 12;
-  /// The version that the origin has from the start.
+  /// The newest version at the origin when the test starts.
   static constexpr std::uint64_t kFirst = 8;
   static constexpr std::uint64_t kSecond = 9;
 
-  /// A process that knows nothing of one before it.
+  /// Starts an agent process without any state of an earlier one.
   void start_agent() {
     stager_ = std::make_unique<ModelStager>(
         "m", settings_, charts().staging, *engine_, *origin_, *links_, *metrics_,
-        ModelStager::Callbacks{[] {}, [this] { return prompts_wait_; },
+        ModelStager::Callbacks{[] {}, [this] { return prompts_waiting_; },
                                [](const std::string&, const std::string&) {}});
   }
 
@@ -53,10 +53,10 @@
 
   void name_second() {
     origin_->set_newest(kSecond);
-    stager_->on_named(kSecond);
+    stager_->on_version_named(kSecond);
   }
 
-  /// One turn of the agent's loop.
+  /// One iteration of the agent's loop.
   void step() {
     g_main_context_iteration(nullptr, FALSE);
     engine_->deliver();
@@ -71,24 +71,25 @@
     while (loop_now() < end) step();
   }
 
-  /// @return whether the condition came true, within a generous limit.
+  /// @return whether the condition became true before the time-out.
   template <class Condition>
   bool run_until(Condition condition) {
-    constexpr Duration kGenerous = seconds(20);
-    const TimePoint end = loop_now() + kGenerous;
+    constexpr Duration kTimeout = seconds(20);
+    const TimePoint end = loop_now() + kTimeout;
     while (!condition() && loop_now() < end) step();
     return condition();
   }
 
-  void assert_only_whole_versions_were_taken() const {
-    for (const auto& taken : engine_->taken()) {
-      CPPUNIT_ASSERT_MESSAGE("version " + std::to_string(taken.version) + " was taken in part",
-                             taken.whole(kChunks));
+  void assert_only_complete_versions_activated() const {
+    for (const auto& activation : engine_->activations()) {
+      CPPUNIT_ASSERT_MESSAGE(
+          "version " + std::to_string(activation.version) + " was activated incomplete",
+          activation.complete(kChunks));
     }
   }
 
   HostSettings settings_;
-  bool prompts_wait_ = false;  ///< Requests that gateways sent have not begun.
+  bool prompts_waiting_ = false;  ///< Requests that gateways sent have not begun yet.
   std::unique_ptr<ScriptedEngine> engine_;
   std::unique_ptr<ScriptedOrigin> origin_;
   std::unique_ptr<Metrics> metrics_;
