--- a/src/gateway/configuration/configuration_catch_up.h
+++ b/src/gateway/configuration/configuration_catch_up.h
@@ -19,22 +19,22 @@
 
 struct CatchUpOptions {
   /// The store has so long to bring a version that another gateway has in force.
-  Duration patience = milliseconds(400);
+  Duration store_wait = milliseconds(400);
   /// The same while no configuration is in force here, when nothing can be served.
-  Duration first_patience = milliseconds(150);
+  Duration first_store_wait = milliseconds(150);
   /// A gateway that has sent nothing for so long is passed over. If something arrives after that,
   /// the limit doubles until a newer version is in force here: on a full link pieces take longer,
   /// and asking again for what is on its way would fill it further.
-  Duration answer_limit = milliseconds(600);
-  std::uint32_t most_doublings = 3;
+  Duration progress_timeout = milliseconds(600);
+  std::uint32_t max_doublings = 3;
   /// Each further gateway of a zone asks in another zone so much later: most documents have come
   /// by then, and the others of the zone fetch them there.
-  Duration far_turn = milliseconds(800);
+  Duration other_zone_stagger = milliseconds(800);
   /// Added by each gateway's own share, but for the first of its zone, so that not all of a zone
   /// ask at once.
-  Duration far_spread = seconds(6);
+  Duration max_other_zone_jitter = seconds(6);
   /// A gateway of the zone that was not heard of for so long does not go before this one.
-  Duration neighbour_lifetime = milliseconds(1500);
+  Duration zone_peer_timeout = milliseconds(1500);
 };
 
 class ConfigurationCatchUp {
@@ -45,21 +45,21 @@
 
   /// `gateway` has `version` in force.
   /// @param near  it stands in the own zone, where a document is cheap to move.
-  void on_heard(PeerId gateway, std::uint64_t version, bool near, TimePoint now);
+  void on_version_advertised(PeerId gateway, std::uint64_t version, bool same_zone, TimePoint now);
   /// Whether the store brings configurations here; otherwise a near gateway is asked at once.
   void set_reads_store(bool reads) { reads_store_ = reads; }
   /// `version` is in force here.
   void on_in_force(std::uint64_t version);
   /// Whether another gateway is known to have a newer version.
-  bool behind() const { return !heard_at_.empty(); }
+  bool behind() const { return !first_advertised_at_.empty(); }
   /// Whom to ask now; the caller sends the request.
   std::optional<PeerId> next_request(TimePoint now);
   /// A part of the document that was asked for has arrived.
   void on_progress(TimePoint now);
   /// The version that `gateway` told last; 0 for none.
-  std::uint64_t version_at(PeerId gateway) const;
+  std::uint64_t advertised_version(PeerId gateway) const;
   /// Since when another gateway was known to have `version` or a newer one, if any.
-  std::optional<TimePoint> first_heard(std::uint64_t version) const;
+  std::optional<TimePoint> first_advertised(std::uint64_t version) const;
 
  private:
   PeerId self_;
@@ -67,19 +67,19 @@
   std::uint64_t version_ = 0;  ///< In force here; 0 for none.
   struct Holder {
     std::uint64_t version = 0;
-    bool near = false;
-    TimePoint heard_at{};
+    bool same_zone = false;
+    TimePoint advertised_at{};
   };
-  bool near_holder() const;
+  bool has_same_zone_holder() const;
   /// Whether a gateway of another zone may be asked now, `since` the newer version was heard of.
-  bool far_turn_has_come(Duration since, Duration patience, TimePoint now) const;
+  bool other_zone_turn_reached(Duration since, Duration store_wait, TimePoint now) const;
 
   bool reads_store_ = true;
   std::map<PeerId, Holder> holders_;
   /// When versions above the own one were first heard of.
-  std::map<std::uint64_t, TimePoint> heard_at_;
-  std::set<PeerId> asked_;    ///< Since the own version last changed.
-  bool passed_over_ = false;  ///< Someone, since a part of a document arrived.
+  std::map<std::uint64_t, TimePoint> first_advertised_at_;
+  std::set<PeerId> asked_;       ///< Since the own version last changed.
+  bool holder_skipped_ = false;  ///< Someone, since a part of a document arrived.
   std::uint32_t doublings_ = 0;
   std::optional<TimePoint> asked_at_;
 };
--- a/src/gateway/configuration/configuration_download.cpp
+++ b/src/gateway/configuration/configuration_download.cpp
@@ -18,25 +18,26 @@
   version_ = version;
   document_bytes_ = 0;
   received_.clear();
-  early_.clear();
+  out_of_order_.clear();
   pending_.clear();
-  asked_to_ = 0;
+  requested_to_ = 0;
 }
 
 ConfigurationPieceRequests ConfigurationDownload::begin(PeerId gateway, std::uint64_t newest) {
   holders_ = {gateway};
   const bool holder_lacks_it = newest < version_;
-  if (newest != version_ && (holder_lacks_it || !half_there())) restart(newest);
-  early_.clear();
+  if (newest != version_ && (holder_lacks_it || !half_received())) restart(newest);
+  out_of_order_.clear();
   pending_.clear();
-  asked_to_ = received_.size();
-  return ask_on();
+  requested_to_ = received_.size();
+  return request_more();
 }
 
-ConfigurationPieceRequests ConfigurationDownload::on_heard(PeerId gateway, std::uint64_t newest) {
+ConfigurationPieceRequests ConfigurationDownload::on_version_advertised(PeerId gateway,
+                                                                        std::uint64_t newest) {
   if (holders_.empty()) return {};
   if (newest == version_) holders_.insert(gateway);
-  if (!holders_.contains(gateway) || newest <= version_ || half_there()) return {};
+  if (!holders_.contains(gateway) || newest <= version_ || half_received()) return {};
   return begin(gateway, newest);
 }
 
@@ -51,51 +52,51 @@
   if (wanted) {
     document_bytes_ = piece.document_bytes;
     pending_.erase(piece.offset);
-    progressed_ = early_.try_emplace(piece.offset, piece.bytes).second;
-    join_early();
+    progressed_ = out_of_order_.try_emplace(piece.offset, piece.bytes).second;
+    append_contiguous();
   }
-  return ask_on();
+  return request_more();
 }
 
-void ConfigurationDownload::join_early() {
-  while (!early_.empty() && early_.begin()->first <= received_.size()) {
-    const auto node = early_.extract(early_.begin());
+void ConfigurationDownload::append_contiguous() {
+  while (!out_of_order_.empty() && out_of_order_.begin()->first <= received_.size()) {
+    const auto node = out_of_order_.extract(out_of_order_.begin());
     if (node.key() == received_.size()) received_ += node.mapped();
   }
-  asked_to_ = std::max<std::uint64_t>(asked_to_, received_.size());
+  requested_to_ = std::max<std::uint64_t>(requested_to_, received_.size());
 }
 
-PeerId ConfigurationDownload::least_asked() const {
+PeerId ConfigurationDownload::least_loaded_holder() const {
   const auto rank = [this](PeerId holder) {
-    const auto asked = std::count_if(pending_.begin(), pending_.end(), [holder](const auto& entry) {
-      return entry.second == holder;
-    });
-    return std::make_pair(asked, stable_hash(holder, self_));
+    const auto outstanding =
+        std::count_if(pending_.begin(), pending_.end(),
+                      [holder](const auto& entry) { return entry.second == holder; });
+    return std::make_pair(outstanding, stable_hash(holder, self_));
   };
   return *std::min_element(holders_.begin(), holders_.end(),
                            [&](PeerId left, PeerId right) { return rank(left) < rank(right); });
 }
 
-ConfigurationPieceRequests ConfigurationDownload::ask_on() {
+ConfigurationPieceRequests ConfigurationDownload::request_more() {
   ConfigurationPieceRequests requests;
   // The size is told by the first piece; most documents are not longer than that.
   const std::uint64_t end = document_bytes_ == 0
                                 ? kConfigurationPieceBytes
                                 : std::min(document_bytes_, received_.size() + kWindowBytes);
-  for (; asked_to_ < end; asked_to_ += kConfigurationPieceBytes) {
-    const PeerId holder = least_asked();
-    pending_[asked_to_] = holder;
-    requests.push_back({holder, version_, asked_to_});
+  for (; requested_to_ < end; requested_to_ += kConfigurationPieceBytes) {
+    const PeerId holder = least_loaded_holder();
+    pending_[requested_to_] = holder;
+    requests.push_back({holder, version_, requested_to_});
   }
   return requests;
 }
 
-std::optional<std::string> ConfigurationDownload::take_whole() {
+std::optional<std::string> ConfigurationDownload::take_document() {
   if (document_bytes_ == 0 || received_.size() < document_bytes_) return std::nullopt;
-  std::string whole = std::move(received_);
+  std::string document = std::move(received_);
   restart(version_);
   holders_.clear();
-  return whole;
+  return document;
 }
 
 void ConfigurationDownload::on_in_force(std::uint64_t version) {
--- a/src/gateway/configuration/configuration_download.h
+++ b/src/gateway/configuration/configuration_download.h
@@ -49,27 +49,29 @@
   /// A near gateway tells which version it has. If it is the one that is fetched, what is left is
   /// asked of it as well, so that who had it first does not serve all others alone. If it is newer
   /// at a gateway that is asked, a download that has just begun turns to it.
-  ConfigurationPieceRequests on_heard(PeerId gateway, std::uint64_t newest);
-  /// @return what to ask for next; take_whole() then says whether it was the last piece.
+  ConfigurationPieceRequests on_version_advertised(PeerId gateway, std::uint64_t newest);
+  /// @return what to ask for next; take_document() then says whether it was the last piece.
   ConfigurationPieceRequests on_piece(const ConfigurationPiece& piece);
   /// Whether the last piece brought something new.
   bool progressed() const { return progressed_; }
   /// The whole document once all pieces have arrived, once.
-  std::optional<std::string> take_whole();
+  std::optional<std::string> take_document();
   /// That is fetched, or was taken last.
   std::uint64_t version() const { return version_; }
   /// `version` is in force here: nothing up to it is needed any more.
   void on_in_force(std::uint64_t version);
 
  private:
-  bool half_there() const { return document_bytes_ > 0 && 2 * received_.size() >= document_bytes_; }
+  bool half_received() const {
+    return document_bytes_ > 0 && 2 * received_.size() >= document_bytes_;
+  }
   void restart(std::uint64_t version);
   /// Appends early pieces that no gap is before any more.
-  void join_early();
+  void append_contiguous();
   /// Who is asked next: the one with the fewest pieces asked for and not arrived. Who answers
   /// faster is asked for more.
-  PeerId least_asked() const;
-  ConfigurationPieceRequests ask_on();
+  PeerId least_loaded_holder() const;
+  ConfigurationPieceRequests request_more();
 
   PeerId self_;
   std::set<PeerId> holders_;  ///< Who is asked; empty while nothing is wanted.
@@ -77,9 +79,9 @@
   std::uint64_t document_bytes_ = 0;  ///< 0 until the first piece has told.
   std::string received_;              ///< From the beginning on, without gaps.
   /// Pieces behind a gap, by offset: two holders answer in no common order.
-  std::map<std::uint64_t, std::string> early_;
+  std::map<std::uint64_t, std::string> out_of_order_;
   std::map<std::uint64_t, PeerId> pending_;  ///< Asked for, by offset.
-  std::uint64_t asked_to_ = 0;               ///< Bytes up to here were asked for.
+  std::uint64_t requested_to_ = 0;           ///< Bytes up to here were asked for.
   bool progressed_ = false;
 };
 
--- a/src/gateway/configuration/configuration_shelf.h
+++ b/src/gateway/configuration/recent_configurations.h
@@ -16,12 +16,12 @@
 
 namespace pumicemast {
 
-class ConfigurationShelf {
+class RecentConfigurations {
  public:
   /// `document` is in force here now.
-  void keep(std::uint64_t version, std::string document) {
+  void add(std::uint64_t version, std::string document) {
     documents_[version] = std::move(document);
-    while (documents_.size() > kKept) documents_.erase(documents_.begin());
+    while (documents_.size() > kMaximumVersions) documents_.erase(documents_.begin());
   }
   /// The document in force, or null.
   const std::string* newest() const {
@@ -42,7 +42,7 @@
   }
 
  private:
-  static constexpr std::size_t kKept = 3;
+  static constexpr std::size_t kMaximumVersions = 3;
   std::map<std::uint64_t, std::string> documents_;
 };
 
--- a/src/gateway/gateway_daemon.cpp
+++ b/src/gateway/gateway_daemon.cpp
@@ -202,7 +202,7 @@
   }
   const bool events = field_value(head, "Content-Type").starts_with(event_stream_type());
   forwarder_.on_response_head(number, facts, events, loop_now());
-  fleet_.follow_limits();
+  fleet_.propagate_limits();
   return true;
 }
 
@@ -250,7 +250,7 @@
     std::visit([this](const auto& typed) { act(typed); }, action);
   }
   flush_answers();
-  fleet_.tell_backlogs();
+  fleet_.send_backlogs();
   fleet_.exchange_permits(forwarder_.waiting() > 0);
   carrying_out_ = false;
 }
@@ -379,7 +379,7 @@
   const RetryAllowance allowance = fleet_.retry_allowance(now);
   if (allowance == forwarder_.retries().allowance()) return;
   forwarder_.set_retry_allowance(allowance);
-  log_.line("retries", "retries gateways=" + std::to_string(fleet_.retry_sharers(now)) +
+  log_.line("retries", "retries gateways=" + std::to_string(fleet_.gateways_sharing_retries(now)) +
                            " reserve=" + std::to_string(allowance.reserve) +
                            " full=" + (allowance.full ? "yes" : "no"));
 }
@@ -410,7 +410,7 @@
     log_.line("quarantine", "request fingerprint=" + to_string(request) +
                                 " state=QUARANTINED ends=" + std::to_string(ends));
   }
-  fleet_.tell_crashes();
+  fleet_.gossip_crashes();
 }
 
 StatusAnswer GatewayDaemon::status(const std::string& path) {
@@ -427,7 +427,7 @@
     figures.reporting_engines = fleet_.pool().reporting(loop_now());
     figures.configuration_version = fleet_.configuration_version();
     figures.bytes_queued_to_gateways = fleet_.bytes_queued_to_gateways();
-    figures.retry_gateways = fleet_.retry_sharers(loop_now());
+    figures.retry_gateways = fleet_.gateways_sharing_retries(loop_now());
     figures.limited_backends = fleet_.pool().limits().limited().size();
     figures.unreadable_limits = fleet_.pool().limits().unreadable();
     figures.quarantined_requests = fleet_.quarantine().list(loop_now()).size();
--- a/src/gateway/peers/list_holders.cpp
+++ b/src/gateway/peers/backend_list_holders.cpp
@@ -1,4 +1,4 @@
-#include "gateway/peers/list_holders.h"
+#include "gateway/peers/backend_list_holders.h"
 
 #include <utility>
 
@@ -6,7 +6,7 @@
 
 namespace pumicemast {
 
-std::optional<PeerId> ListHolders::next(std::uint64_t known) {
+std::optional<PeerId> BackendListHolders::next(std::uint64_t known) {
   using Rank = std::pair<std::uint32_t, std::uint64_t>;
   std::optional<std::pair<Rank, PeerId>> best;
   for (const auto& [gateway, holder] : holders_) {
--- a/src/gateway/peers/list_holders.h
+++ b/src/gateway/peers/backend_list_holders.h
@@ -12,13 +12,15 @@
 
 namespace pumicemast {
 
-class ListHolders {
+class BackendListHolders {
  public:
   /// @param self  sets apart whom different gateways ask first.
-  explicit ListHolders(PeerId self) : self_(self) {}
+  explicit BackendListHolders(PeerId self) : self_(self) {}
 
   /// The list of `gateway`, of the own zone, is of that revision.
-  void on_heard(PeerId gateway, std::uint64_t revision) { holders_[gateway].revision = revision; }
+  void on_revision_advertised(PeerId gateway, std::uint64_t revision) {
+    holders_[gateway].revision = revision;
+  }
   /// The holder of a list newer than `known` that was asked least often; it counts as asked.
   std::optional<PeerId> next(std::uint64_t known);
 
--- a/src/gateway/peers/backend_list_relay.cpp
+++ b/src/gateway/peers/backend_list_relay.cpp
@@ -5,7 +5,7 @@
 
 /// The whole list, 20 KB for 120 back ends, is within a zone in some milliseconds; an answer that
 /// does not come is asked for again from whoever tells next of a newer list.
-constexpr Duration kAskInterval = milliseconds(300);
+constexpr Duration kRequestInterval = milliseconds(300);
 
 }  // namespace
 
@@ -14,7 +14,7 @@
   follower_.on_read(revision);
 }
 
-void BackendListRelay::on_gone(const std::string& id, std::uint64_t revision) {
+void BackendListRelay::on_removed(const std::string& id, std::uint64_t revision) {
   BackendChange change;
   change.record.id = id;
   change.record.revision = revision;
@@ -24,15 +24,15 @@
 
 std::optional<BackendChanges> BackendListRelay::on_current(std::uint64_t revision) {
   if (changes_.empty()) return std::nullopt;
-  BackendChanges told{follower_.revision(), revision, false, std::move(changes_)};
+  BackendChanges changes{follower_.revision(), revision, false, std::move(changes_)};
   changes_.clear();
   follower_.on_read(revision);
-  return told;
+  return changes;
 }
 
 bool BackendListRelay::should_ask(std::uint64_t revision, TimePoint now) {
-  if (!follower_.lacks(revision) || now < next_ask_) return false;
-  next_ask_ = now + kAskInterval;
+  if (!follower_.lacks(revision) || now < next_request_at_) return false;
+  next_request_at_ = now + kRequestInterval;
   return true;
 }
 
--- a/src/gateway/peers/backend_list_relay.h
+++ b/src/gateway/peers/backend_list_relay.h
@@ -16,7 +16,7 @@
   // What this gateway reads itself.
   void on_listed(std::uint64_t revision);
   void on_record(const BackendRecord& record) { changes_.push_back({record, false}); }
-  void on_gone(const std::string& id, std::uint64_t revision);
+  void on_removed(const std::string& id, std::uint64_t revision);
   /// Everything up to `revision` was told.
   /// @return what the others of the zone lack; empty when nothing changed.
   std::optional<BackendChanges> on_current(std::uint64_t revision);
@@ -35,7 +35,7 @@
  private:
   BackendListFollower follower_;
   std::vector<BackendChange> changes_;
-  TimePoint next_ask_{};
+  TimePoint next_request_at_{};
 };
 
 }  // namespace pumicemast
--- a/src/gateway/peers/configuration_exchange.cpp
+++ b/src/gateway/peers/configuration_exchange.cpp
@@ -20,26 +20,26 @@
   version_ = version;
   catch_up_.on_in_force(version);
   download_.on_in_force(version);
-  shelf_.keep(version, document);
+  recent_.add(version, document);
 }
 
-void ConfigurationExchange::on_heard(PeerId gateway, std::uint64_t version) {
-  const bool near = callbacks_.near(gateway);
-  catch_up_.on_heard(gateway, version, near, loop_now());
-  if (near) send_requests(download_.on_heard(gateway, version));
+void ConfigurationExchange::on_version_advertised(PeerId gateway, std::uint64_t version) {
+  const bool same_zone = callbacks_.same_zone(gateway);
+  catch_up_.on_version_advertised(gateway, version, same_zone, loop_now());
+  if (same_zone) send_requests(download_.on_version_advertised(gateway, version));
   if (!timer_.active()) catch_up();
 }
 
-Duration ConfigurationExchange::known_elsewhere_for(std::uint64_t version) const {
-  const auto first = catch_up_.first_heard(version);
+Duration ConfigurationExchange::time_since_advertised(std::uint64_t version) const {
+  const auto first = catch_up_.first_advertised(version);
   return first ? loop_now() - *first : Duration::zero();
 }
 
 void ConfigurationExchange::catch_up() {
   if (const auto gateway = catch_up_.next_request(loop_now())) {
     metrics_.count("pumicemast_gateway_configuration_fetches_total",
-                   {{"zone", callbacks_.near(*gateway) ? "own" : "other"}});
-    send_requests(download_.begin(*gateway, catch_up_.version_at(*gateway)));
+                   {{"zone", callbacks_.same_zone(*gateway) ? "own" : "other"}});
+    send_requests(download_.begin(*gateway, catch_up_.advertised_version(*gateway)));
   }
   if (catch_up_.behind()) timer_.start_once(kCatchUpInterval, [this] { catch_up(); });
 }
@@ -60,13 +60,13 @@
   wire::ConfigurationDocumentT message;
   if (!request.pieces()) {
     // A gateway of an earlier release: it knows no pieces.
-    if (shelf_.newest() == nullptr) return;
+    if (recent_.newest() == nullptr) return;
     message.version = version_;
-    message.document = *shelf_.newest();
+    message.document = *recent_.newest();
     send_document(peer, message);
     return;
   }
-  const auto piece = shelf_.piece(request.version(), request.offset());
+  const auto piece = recent_.piece(request.version(), request.offset());
   if (!piece) return;
   message.version = piece->version;
   message.document = std::string(piece->bytes);
@@ -78,7 +78,7 @@
 void ConfigurationExchange::send_document(PeerId peer,
                                           const wire::ConfigurationDocumentT& message) {
   metrics_.count("pumicemast_gateway_configuration_sent_bytes_total",
-                 {{"zone", callbacks_.near(peer) ? "own" : "other"}},
+                 {{"zone", callbacks_.same_zone(peer) ? "own" : "other"}},
                  static_cast<double>(message.document.size()));
   links_.send(peer, message);
 }
@@ -95,10 +95,10 @@
   send_requests(download_.on_piece({message.version(), message.document_bytes(), message.offset(),
                                     message.document()->string_view()}));
   if (download_.progressed()) catch_up_.on_progress(loop_now());
-  auto whole = download_.take_whole();
-  if (!whole) return;
+  auto assembled = download_.take_document();
+  if (!assembled) return;
   fetched.version = download_.version();
-  fetched.document = std::move(*whole);
+  fetched.document = std::move(*assembled);
   callbacks_.on_fetched(fetched);
 }
 
--- a/src/gateway/peers/configuration_exchange.h
+++ b/src/gateway/peers/configuration_exchange.h
@@ -10,7 +10,7 @@
 #include "common/metrics.h"
 #include "gateway/configuration/configuration_catch_up.h"
 #include "gateway/configuration/configuration_download.h"
-#include "gateway/configuration/configuration_shelf.h"
+#include "gateway/configuration/recent_configurations.h"
 #include "transport/peer_links.h"
 
 namespace pumicemast {
@@ -27,7 +27,7 @@
   struct Callbacks {
     std::function<void(const FetchedConfiguration&)> on_fetched;
     /// Whether a gateway stands in the own zone.
-    std::function<bool(PeerId)> near;
+    std::function<bool(PeerId)> same_zone;
     /// A gateway's address, for the log.
     std::function<std::string(PeerId)> address_text;
   };
@@ -38,9 +38,9 @@
   /// `version` is in force here; others may fetch `document`.
   void on_in_force(std::uint64_t version, const std::string& document);
   /// `gateway` has `version` in force.
-  void on_heard(PeerId gateway, std::uint64_t version);
+  void on_version_advertised(PeerId gateway, std::uint64_t version);
   /// For how long another gateway has been known to have `version` or a newer one.
-  Duration known_elsewhere_for(std::uint64_t version) const;
+  Duration time_since_advertised(std::uint64_t version) const;
   void on_request(PeerId peer, const wire::ConfigurationRequest& request);
   void on_document(PeerId peer, const wire::ConfigurationDocument& message);
 
@@ -56,7 +56,7 @@
   std::uint64_t version_ = 0;  ///< In force here; 0 for none.
   ConfigurationCatchUp catch_up_;
   ConfigurationDownload download_;
-  ConfigurationShelf shelf_;
+  RecentConfigurations recent_;
   Timer timer_;
 };
 
--- a/src/gateway/peers/contact_search.cpp
+++ b/src/gateway/peers/contact_search.cpp
@@ -8,54 +8,54 @@
 
 ContactSearch::ContactSearch(Address self, ContactSearchOptions options)
     : self_(std::move(self)), options_(options) {
-  const auto spread =
-      static_cast<std::uint64_t>(std::max<Duration::rep>(1, options_.patience_spread.count()));
-  const std::uint64_t own_share = stable_hash(self_.to_string()) % spread;
-  patience_ = options_.patience + Duration(static_cast<Duration::rep>(own_share));
+  const auto max_jitter =
+      static_cast<std::uint64_t>(std::max<Duration::rep>(1, options_.max_timeout_jitter.count()));
+  const std::uint64_t own_jitter = stable_hash(self_.to_string()) % max_jitter;
+  contact_timeout_ = options_.contact_timeout + Duration(static_cast<Duration::rep>(own_jitter));
 }
 
-bool ContactSearch::contact_is_silent(TimePoint now) const {
-  return now - std::max(contact_found_at_, reader_heard_at_) >= patience_;
+bool ContactSearch::contact_timed_out(TimePoint now) const {
+  return now - std::max(contact_found_at_, reader_seen_at_) >= contact_timeout_;
 }
 
 std::optional<ContactAction> ContactSearch::next_action(TimePoint now) {
-  if (call_open_ || is_contact_ || now < next_call_at_) return std::nullopt;
+  if (call_outstanding_ || is_contact_ || now < next_call_at_) return std::nullopt;
   std::optional<ContactAction> action;
   if (contact_) {
-    if (!contact_is_silent(now)) return std::nullopt;
+    if (!contact_timed_out(now)) return std::nullopt;
     action = ClaimContact{contact_->revision};
-  } else if (board_empty_) {
+  } else if (registry_empty_) {
     action = ClaimContact{};
   } else {
     action = ReadContact{};
   }
-  call_open_ = true;
+  call_outstanding_ = true;
   return action;
 }
 
 void ContactSearch::on_answer(const ContactBoardAnswer& answer, TimePoint now) {
-  call_open_ = false;
+  call_outstanding_ = false;
   if (answer.state == ContactBoardState::unavailable) {
     // A claim without an answer may have been carried out: the board is read again.
-    board_empty_ = false;
+    registry_empty_ = false;
     contact_.reset();
     next_call_at_ = now + options_.retry_interval;
     if (!unavailable_since_) unavailable_since_ = now;
     return;
   }
   unavailable_since_.reset();
-  board_empty_ = answer.state == ContactBoardState::empty;
+  registry_empty_ = answer.state == ContactBoardState::empty;
   contact_.reset();
-  if (board_empty_) return;
+  if (registry_empty_) return;
   is_contact_ = answer.entry.gateway == self_;
   if (is_contact_) return;
   contact_ = answer.entry;
   contact_found_at_ = now;
 }
 
-bool ContactSearch::reads(TimePoint now) const {
+bool ContactSearch::should_read(TimePoint now) const {
   if (is_contact_) return true;
-  return unavailable_since_ && now - *unavailable_since_ >= options_.unavailable_limit;
+  return unavailable_since_ && now - *unavailable_since_ >= options_.registry_timeout;
 }
 
 }  // namespace pumicemast
--- a/src/gateway/peers/contact_search.h
+++ b/src/gateway/peers/contact_search.h
@@ -17,13 +17,13 @@
 
 struct ContactSearchOptions {
   /// A contact of which nothing was heard for so long is replaced.
-  Duration patience = milliseconds(1000);
+  Duration contact_timeout = milliseconds(1000);
   /// Added by each gateway's own share.
-  Duration patience_spread = milliseconds(300);
+  Duration max_timeout_jitter = milliseconds(300);
   /// Between two calls after one that failed.
   Duration retry_interval = milliseconds(200);
   /// A board that does not answer for so long is done without.
-  Duration unavailable_limit = milliseconds(1000);
+  Duration registry_timeout = milliseconds(1000);
 };
 
 struct ReadContact {};
@@ -40,26 +40,26 @@
   std::optional<ContactAction> next_action(TimePoint now);
   void on_answer(const ContactBoardAnswer& answer, TimePoint now);
   /// A gateway of the zone has told that it reads the list.
-  void on_reader_heard(TimePoint now) { reader_heard_at_ = now; }
+  void on_reader_seen(TimePoint now) { reader_seen_at_ = now; }
 
   /// Another gateway, to be asked for what it knows.
   const std::optional<ContactEntry>& contact() const { return contact_; }
   /// Whether this gateway is to read the list itself: others ask it for the list, or there is
   /// nobody to ask.
-  bool reads(TimePoint now) const;
+  bool should_read(TimePoint now) const;
 
  private:
-  bool contact_is_silent(TimePoint now) const;
+  bool contact_timed_out(TimePoint now) const;
 
   Address self_;
   ContactSearchOptions options_;
-  Duration patience_;
-  bool call_open_ = false;
+  Duration contact_timeout_;
+  bool call_outstanding_ = false;
   bool is_contact_ = false;
-  bool board_empty_ = false;
+  bool registry_empty_ = false;
   std::optional<ContactEntry> contact_;
   TimePoint contact_found_at_{};
-  TimePoint reader_heard_at_{};
+  TimePoint reader_seen_at_{};
   TimePoint next_call_at_{};
   std::optional<TimePoint> unavailable_since_;
 };
--- a/src/gateway/peers/fleet_links.cpp
+++ b/src/gateway/peers/fleet_links.cpp
@@ -20,14 +20,14 @@
 /// urgent, as a configuration is, would wait behind the lists. Others hold it too.
 constexpr std::size_t kListQueueLimitBytes = 1U << 20U;
 /// Gateways that each one tells regularly: news reaches all in a few steps.
-constexpr std::size_t kFanOut = 3;
+constexpr std::size_t kRingFanOut = 3;
 /// Further gateways, drawn by lot, that hear of a change at once: with all of them the messages
 /// of one change would grow with the square of their number.
-constexpr std::size_t kNewsFanOut = 5;
+constexpr std::size_t kRandomFanOut = 5;
 /// Engines are described to the agents of the zone every so many ticks, and to others, which have
 /// gateways of their own, more rarely.
-constexpr std::uint64_t kDescriptionTicks = 4;
-constexpr std::uint64_t kFarDescriptionTicks = 24;
+constexpr std::uint64_t kDescriptionIntervalTicks = 4;
+constexpr std::uint64_t kOtherZoneDescriptionIntervalTicks = 24;
 
 PeerId peer_id(const Address& address) { return stable_hash(address.to_string()); }
 
@@ -46,14 +46,14 @@
               [this](PeerId peer) { on_agent_lost(peer); }, [](PeerId) {}}),
       configurations_(peer_id(own_address_), links_, metrics,
                       {[this](const FetchedConfiguration& fetched) {
-                         listener_.on_other_configuration(fetched);
+                         listener_.on_fetched_configuration(fetched);
                        },
-                       [this](PeerId peer) { return near(peer); },
+                       [this](PeerId peer) { return same_zone(peer); },
                        [this](PeerId peer) { return address_text(peer); }}),
       random_(static_cast<std::minstd_rand::result_type>(peer_id(own_address_))) {
   links_.set_unanswered_limit(kUnansweredLimit);
   links_.set_queue_limit(kQueueLimitBytes);
-  for (const Address& seed : seeds) note_gateway(seed.to_string(), "");
+  for (const Address& seed : seeds) add_gateway(seed.to_string(), "");
 }
 
 bool FleetLinks::start() {
@@ -67,7 +67,7 @@
   return bound;
 }
 
-bool FleetLinks::note_gateway(const std::string& text, const std::string& zone) {
+bool FleetLinks::add_gateway(const std::string& text, const std::string& zone) {
   const auto address = parse_address(text);
   if (!address || *address == own_address_) return false;
   const PeerId peer = peer_id(*address);
@@ -83,7 +83,7 @@
   return found == gateways_.end() ? "-" : found->second.address.to_string();
 }
 
-bool FleetLinks::near(PeerId gateway) const {
+bool FleetLinks::same_zone(PeerId gateway) const {
   const auto found = gateways_.find(gateway);
   return found != gateways_.end() && found->second.zone == zone_;
 }
@@ -98,15 +98,15 @@
   configurations_.set_reads_store(reads_store_ && store_reachable_);
 }
 
-void FleetLinks::greet(const Address& gateway) {
-  note_gateway(gateway.to_string(), zone_);
+void FleetLinks::exchange_digests(const Address& gateway) {
+  add_gateway(gateway.to_string(), zone_);
   send_digest(peer_id(gateway));
 }
 
-void FleetLinks::welcome(PeerId newcomer, std::uint64_t its_list_revision) {
-  const bool first_time = welcomed_.insert(newcomer).second;
+void FleetLinks::bootstrap_gateway(PeerId newcomer, std::uint64_t newcomer_list_revision) {
+  const bool first_time = bootstrapped_.insert(newcomer).second;
   // Another process of that gateway has no list. Two that have none do not answer each other.
-  const bool started_again = its_list_revision == 0 && list_revision_ > 0;
+  const bool started_again = newcomer_list_revision == 0 && list_revision_ > 0;
   if (!first_time && !started_again) return;
   wire::GatewayListT message;
   for (const auto& [peer, gateway] : gateways_) {
@@ -120,8 +120,8 @@
   send_digest(newcomer);
 }
 
-std::set<PeerId> FleetLinks::regular_gateways() const {
-  const std::vector<PeerId> ring = chosen_gateways();
+std::set<PeerId> FleetLinks::regular_recipients() const {
+  const std::vector<PeerId> ring = ring_successors();
   std::set<PeerId> result(ring.begin(), ring.end());
   if (!reads_store_) return result;
   for (const auto& [peer, gateway] : gateways_) {
@@ -143,7 +143,7 @@
   }
 }
 
-void FleetLinks::pass_on(const BackendChanges& to_gateways, const BackendChanges& to_agents) {
+void FleetLinks::relay_changes(const BackendChanges& to_gateways, const BackendChanges& to_agents) {
   const wire::BackendChangesT gateway_message = encode(to_gateways);
   for (const auto& [peer, gateway] : gateways_) {
     if (gateway.zone == zone_ && links_.connected(peer)) links_.send(peer, gateway_message);
@@ -154,25 +154,25 @@
   }
 }
 
-void FleetLinks::ask_backend_list(PeerId gateway) {
+void FleetLinks::request_backend_list(PeerId gateway) {
   wire::BackendListRequestT request;
   request.known_revision = list_revision_;
   links_.send(gateway, request);
 }
 
-std::uint64_t FleetLinks::revision_read() const {
+std::uint64_t FleetLinks::revision_as_reader() const {
   return reads_store_ && store_reachable_ ? list_revision_ : 0;
 }
 
 void FleetLinks::on_agent_lost(PeerId peer) {
   const auto engine = agents_.find(peer);
   if (engine == agents_.end()) return;
-  agents_to_tell_again_.insert(peer);
+  agents_to_resend_to_.insert(peer);
   listener_.on_engine_agent_lost(engine->second.address);
 }
 
-void FleetLinks::tell_weights_again(PeerId agent) {
-  for (const NamedWeights& weights : listener_.own_knowledge().weights) {
+void FleetLinks::resend_weights(PeerId agent) {
+  for (const NamedWeights& weights : listener_.own_gossip_state().weights) {
     wire::WeightsNamedT message;
     message.model = weights.model;
     message.version = weights.version;
@@ -187,15 +187,15 @@
   message.zone = zone_;
   message.demand = static_cast<float>(demand_);
   message.ping = static_cast<std::uint64_t>(loop_now().time_since_epoch().count());
-  message.list_revision = revision_read();
+  message.list_revision = revision_as_reader();
   links_.send(peer, message);
 }
 
-std::vector<PeerId> FleetLinks::chosen_gateways() const {
+std::vector<PeerId> FleetLinks::ring_successors() const {
   // The next few in the order of their ids: a ring that every gateway is part of.
   std::vector<PeerId> chosen;
   auto position = gateways_.upper_bound(peer_id(own_address_));
-  while (chosen.size() < std::min(kFanOut, gateways_.size())) {
+  while (chosen.size() < std::min(kRingFanOut, gateways_.size())) {
     if (position == gateways_.end()) position = gateways_.begin();
     chosen.push_back(position->first);
     ++position;
@@ -206,51 +206,52 @@
 void FleetLinks::tick() {
   for (const auto& [peer, engine] : agents_) {
     subscribe(peer);
-    if (agents_to_tell_again_.erase(peer) > 0) tell_weights_again(peer);
+    if (agents_to_resend_to_.erase(peer) > 0) resend_weights(peer);
   }
-  tell_descriptions();
+  send_descriptions();
   ++tick_count_;
-  for (const PeerId peer : regular_gateways()) send_digest(peer);
+  for (const PeerId peer : regular_recipients()) send_digest(peer);
 }
 
 void FleetLinks::set_descriptions(const std::map<Address, wire::EngineDescriptionT>& by_engine) {
   descriptions_ = by_engine;
 }
 
-void FleetLinks::tell_descriptions() {
+void FleetLinks::send_descriptions() {
   for (const auto& [peer, engine] : agents_) {
-    const std::uint64_t ticks = engine.zone == zone_ ? kDescriptionTicks : kFarDescriptionTicks;
+    const std::uint64_t ticks =
+        engine.zone == zone_ ? kDescriptionIntervalTicks : kOtherZoneDescriptionIntervalTicks;
     if (tick_count_ % ticks != 0) continue;
     const auto description = descriptions_.find(engine.address);
     if (description != descriptions_.end()) links_.send(peer, description->second);
   }
 }
 
-std::set<PeerId> FleetLinks::gateways_told_at_once() {
+std::set<PeerId> FleetLinks::immediate_recipients() {
   std::vector<PeerId> connected;
   for (const auto& [peer, gateway] : gateways_) {
     if (links_.connected(peer)) connected.push_back(peer);
   }
-  std::set<PeerId> told = regular_gateways();
-  std::erase_if(told, [this](PeerId peer) { return !links_.connected(peer); });
-  std::sample(connected.begin(), connected.end(), std::inserter(told, told.end()), kNewsFanOut,
-              random_);
-  return told;
+  std::set<PeerId> recipients = regular_recipients();
+  std::erase_if(recipients, [this](PeerId peer) { return !links_.connected(peer); });
+  std::sample(connected.begin(), connected.end(), std::inserter(recipients, recipients.end()),
+              kRandomFanOut, random_);
+  return recipients;
 }
 
-void FleetLinks::tell_others() {
-  for (const PeerId peer : gateways_told_at_once()) send_digest(peer);
+void FleetLinks::gossip_now() {
+  for (const PeerId peer : immediate_recipients()) send_digest(peer);
 }
 
-void FleetLinks::tell_zone() {
+void FleetLinks::send_digest_to_zone() {
   for (const auto& [peer, gateway] : gateways_) {
     if (gateway.zone == zone_ && links_.connected(peer)) send_digest(peer);
   }
 }
 
-void FleetLinks::tell_crashes(const CrashNews& news) {
-  const wire::RequestCrashesT message = encode(news);
-  for (const PeerId peer : gateways_told_at_once()) links_.send(peer, message);
+void FleetLinks::gossip_crashes(const CrashNews& update) {
+  const wire::RequestCrashesT message = encode(update);
+  for (const PeerId peer : immediate_recipients()) links_.send(peer, message);
 }
 
 void FleetLinks::send(PeerId issuer, const PermitRequest& request) {
@@ -280,21 +281,21 @@
   return bytes;
 }
 
-void FleetLinks::tell_weights_named(const std::string& model, std::uint64_t version) {
+void FleetLinks::announce_weights(const std::string& model, std::uint64_t version) {
   wire::WeightsNamedT message;
   message.model = model;
   message.version = version;
   for (const auto& [peer, agent] : agents_) links_.send(peer, message);
 }
 
-void FleetLinks::tell_backlog(const Address& engine, double unread_tokens) {
+void FleetLinks::send_backlog(const Address& engine, double unread_tokens) {
   wire::PromptBacklogT message;
   message.unread_tokens = static_cast<std::uint32_t>(unread_tokens);
   links_.send(peer_id({engine.host, own_address_.port}), message);
 }
 
 void FleetLinks::send_digest(PeerId peer) {
-  wire::GatewayDigestT message = encode(listener_.own_knowledge(), loop_now());
+  wire::GatewayDigestT message = encode(listener_.own_gossip_state(), loop_now());
   message.gateway = own_address_.to_string();
   message.address = own_address_.to_string();
   message.zone = zone_;
@@ -335,7 +336,7 @@
       on_list_request(peer, *frame.body_as_BackendListRequest());
       return;
     case wire::Body::RequestCrashes:
-      listener_.on_crash_news(decode(*frame.body_as_RequestCrashes()));
+      listener_.on_crash_update(decode(*frame.body_as_RequestCrashes()));
       return;
     case wire::Body::CrashVerdictsRequest:
       links_.send(peer, encode(listener_.own_verdicts()));
@@ -385,30 +386,30 @@
   if (list.gateways() == nullptr) return;
   for (const auto* gateway : *list.gateways()) {
     const std::string address = gateway->address()->str();
-    const bool is_new = note_gateway(address, text_of(gateway->zone()));
+    const bool is_new = add_gateway(address, text_of(gateway->zone()));
     // So that all of a zone know each other before they decide who reads the store.
     const PeerId peer = stable_hash(address);
-    if (is_new && near(peer)) send_digest(peer);
+    if (is_new && same_zone(peer)) send_digest(peer);
   }
 }
 
 void FleetLinks::on_digest(PeerId peer, const wire::GatewayDigest& digest) {
-  note_gateway(digest.address()->str(), text_of(digest.zone()));
-  if (near(peer)) {
-    welcome(peer, digest.list_revision());
-    listener_.on_near_gateway(peer, digest.reads_store());
+  add_gateway(digest.address()->str(), text_of(digest.zone()));
+  if (same_zone(peer)) {
+    bootstrap_gateway(peer, digest.list_revision());
+    listener_.on_reader_status(peer, digest.reads_store());
     // A change reaches each gateway from the readers: only without any list others are asked, too.
     if (digest.reads_store() || list_revision_ == 0) {
-      listener_.on_list_revision_told(peer, digest.list_revision());
+      listener_.on_list_revision_advertised(peer, digest.list_revision());
     }
   }
-  const GatewayKnowledge knowledge = decode(digest, loop_now());
-  const std::uint64_t own_verdicts = listener_.own_knowledge().crash_verdicts;
+  const GossipState state = decode(digest, loop_now());
+  const std::uint64_t own_verdicts = listener_.own_gossip_state().crash_verdicts;
   if (verdict_pull_.should_ask(peer, digest.crash_verdicts(), own_verdicts, loop_now())) {
     links_.send(peer, wire::CrashVerdictsRequestT{});
   }
-  configurations_.on_heard(peer, knowledge.configuration_version);
-  listener_.on_other_knowledge(knowledge);
+  configurations_.on_version_advertised(peer, state.configuration_version);
+  listener_.on_gossip_state(state);
 }
 
 }  // namespace pumicemast
--- a/src/gateway/peers/fleet_links.h
+++ b/src/gateway/peers/fleet_links.h
@@ -39,18 +39,18 @@
   /// A message to the agent beside the engine and back took so long.
   virtual void on_path_delay(const Address& engine, Duration delay) = 0;
   virtual void on_engine_agent_lost(const Address& engine) = 0;
-  virtual void on_other_knowledge(const GatewayKnowledge& knowledge) = 0;
-  virtual void on_other_configuration(const FetchedConfiguration& fetched) = 0;
+  virtual void on_gossip_state(const GossipState& state) = 0;
+  virtual void on_fetched_configuration(const FetchedConfiguration& fetched) = 0;
   /// A gateway of the zone tells whether it reads the store, and reaches it.
-  virtual void on_near_gateway(PeerId gateway, bool reads) = 0;
+  virtual void on_reader_status(PeerId gateway, bool reads) = 0;
   /// A gateway of the zone passes on what it read.
   virtual void on_backend_changes(PeerId gateway, const BackendChanges& changes) = 0;
   /// The list of a gateway of the zone is of that revision.
-  virtual void on_list_revision_told(PeerId gateway, std::uint64_t revision) = 0;
+  virtual void on_list_revision_advertised(PeerId gateway, std::uint64_t revision) = 0;
   /// The list as it is known here, and its revision.
   virtual BackendChanges own_backend_list(ListScope scope) = 0;
-  virtual GatewayKnowledge own_knowledge() = 0;
-  virtual void on_crash_news(const CrashNews& news) = 0;
+  virtual GossipState own_gossip_state() = 0;
+  virtual void on_crash_update(const CrashNews& update) = 0;
   /// The evidence of all verdicts on requests.
   virtual CrashNews own_verdicts() = 0;
   virtual void on_permit_request(PeerId gateway, const PermitRequest& request) = 0;
@@ -71,21 +71,21 @@
   /// The list of back ends is of that revision here.
   void set_list_revision(std::uint64_t revision) { list_revision_ = revision; }
   /// Tells the gateways and agents of the zone what this gateway has read.
-  void pass_on(const BackendChanges& to_gateways, const BackendChanges& to_agents);
-  void ask_backend_list(PeerId gateway);
+  void relay_changes(const BackendChanges& to_gateways, const BackendChanges& to_agents);
+  void request_backend_list(PeerId gateway);
   /// How many first attempts for engines reach this gateway in a second; agents deal room by it.
   void set_demand(double requests_per_s) { demand_ = requests_per_s; }
   /// What agents are told of their engines; empty services have none.
   void set_descriptions(const std::map<Address, wire::EngineDescriptionT>& by_engine);
   /// Tells some gateways at once, after something changed; the others hear it from them, or from
   /// the next regular digests.
-  void tell_others();
+  void gossip_now();
   /// Tells `gateway`, which stands in the own zone, what is known here; it answers with the same.
-  void greet(const Address& gateway);
+  void exchange_digests(const Address& gateway);
   /// Whether this gateway reads the store, for its zone.
   void set_reads_store(bool reads);
   /// Tells all gateways of the zone that this one is connected to.
-  void tell_zone();
+  void send_digest_to_zone();
   /// Whether the platform's store answers this gateway.
   void set_store_reachable(bool reachable);
   /// `version` is in force here; other gateways may fetch `document`.
@@ -93,18 +93,18 @@
     configurations_.on_in_force(version, document);
   }
   /// For how long another gateway has been known to have `version` or a newer one.
-  Duration known_elsewhere_for(std::uint64_t version) const {
-    return configurations_.known_elsewhere_for(version);
+  Duration time_since_advertised(std::uint64_t version) const {
+    return configurations_.time_since_advertised(version);
   }
   /// Bytes to other gateways that the system has not taken yet.
   std::size_t bytes_queued_to_gateways() const;
   /// Tells the agent beside `engine` how many prompt tokens this gateway's requests wait to be
   /// read there; the agent tells other gateways.
-  void tell_backlog(const Address& engine, double unread_tokens);
-  void tell_weights_named(const std::string& model, std::uint64_t version);
+  void send_backlog(const Address& engine, double unread_tokens);
+  void announce_weights(const std::string& model, std::uint64_t version);
   /// Tells some gateways under which requests back ends have ended; each tells others what was new
   /// to it.
-  void tell_crashes(const CrashNews& news);
+  void gossip_crashes(const CrashNews& update);
   void send(PeerId issuer, const PermitRequest& request);
   void send(PeerId gateway, const PermitAnswer& answer);
   /// The agent beside a back end, if this gateway hears from it.
@@ -118,31 +118,31 @@
     std::string zone;  ///< Empty while it is not known.
   };
   void tick();
-  bool near(PeerId gateway) const;
+  bool same_zone(PeerId gateway) const;
   /// "-" where it is not known.
   std::string address_text(PeerId gateway) const;
   /// Those that this one tells regularly.
-  std::set<PeerId> regular_gateways() const;
+  std::set<PeerId> regular_recipients() const;
   /// Those that hear of a change at once: the regular ones and some drawn by lot, if connected.
-  std::set<PeerId> gateways_told_at_once();
+  std::set<PeerId> immediate_recipients();
   void on_agent_lost(PeerId peer);
   /// What was told on a link that was lost may not have arrived.
-  void tell_weights_again(PeerId agent);
+  void resend_weights(PeerId agent);
   void subscribe(PeerId peer);
   /// Of the list that this gateway reads for its zone; 0 when others do.
-  std::uint64_t revision_read() const;
-  void tell_descriptions();
+  std::uint64_t revision_as_reader() const;
+  void send_descriptions();
   void send_digest(PeerId peer);
-  std::vector<PeerId> chosen_gateways() const;
+  std::vector<PeerId> ring_successors() const;
   void on_frame(PeerId peer, const wire::Frame& frame);
   void on_report(const wire::EngineReport& message);
   void on_gateway_list(const wire::GatewayList& list);
   void on_list_request(PeerId peer, const wire::BackendListRequest& request);
   void on_digest(PeerId peer, const wire::GatewayDigest& digest);
   /// @return whether it was not known before.
-  bool note_gateway(const std::string& address, const std::string& zone);
+  bool add_gateway(const std::string& address, const std::string& zone);
   /// A gateway of the zone that has just started knows no other one.
-  void welcome(PeerId newcomer, std::uint64_t its_list_revision);
+  void bootstrap_gateway(PeerId newcomer, std::uint64_t newcomer_list_revision);
 
   Address own_address_;
   std::string zone_;
@@ -152,9 +152,9 @@
   PeerLinks links_;
   /// The engine beside each agent that this gateway hears from.
   std::map<PeerId, EnginePlace> agents_;
-  std::set<PeerId> agents_to_tell_again_;  ///< Their links were lost since they were told.
+  std::set<PeerId> agents_to_resend_to_;  ///< Their links were lost since they were told.
   std::map<PeerId, Gateway> gateways_;
-  std::set<PeerId> welcomed_;  ///< Gateways of the zone that have been told of the others.
+  std::set<PeerId> bootstrapped_;  ///< Gateways of the zone that have been told of the others.
   std::map<Address, wire::EngineDescriptionT> descriptions_;
   ConfigurationExchange configurations_;
   VerdictPull verdict_pull_;
--- a/src/gateway/peers/fleet_state.cpp
+++ b/src/gateway/peers/fleet_state.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Between two tellings of limits to other gateways, beside the regular digests.
-constexpr Duration kLimitNewsInterval = milliseconds(100);
+constexpr Duration kLimitGossipInterval = milliseconds(100);
 
 BackendPoolOptions pool_options(const GatewaySettings& settings) {
   BackendPoolOptions options;
@@ -64,10 +64,10 @@
       quarantine_(quarantine_options(settings), loop_now()),
       links_(settings.internal_address, settings.zone, settings.seeds, metrics, *this),
       permits_(self_, pool_, links_, [this] { callbacks_.on_report(); }),
-      list_holders_(self_),
-      reading_(settings.internal_address, self_, feed.contacts(),
-               {[this](bool reads) { on_store_reader(reads); },
-                [this](const Address& gateway) { links_.greet(gateway); }}),
+      backend_list_holders_(self_),
+      store_reader_(settings.internal_address, self_, feed.contacts(),
+                    {[this](bool reads) { on_store_reader(reads); },
+                     [this](const Address& gateway) { links_.exchange_digests(gateway); }}),
       retry_share_(retry_share_options(settings), loop_now()) {
   targets_.set_start_bound(settings.start_bound);
   quarantine_.set_pardoned(settings.pardoned);
@@ -76,7 +76,7 @@
 bool FleetState::start() {
   if (!links_.start()) return false;
   feed_.start(*this);
-  reading_.start();
+  store_reader_.start();
   return true;
 }
 
@@ -95,7 +95,7 @@
 void FleetState::apply_configuration(FleetConfiguration configuration, const std::string& document,
                                      const char* source, const std::string& from) {
   if (routes_ && configuration.version <= routes_->version()) return;
-  const Duration lag = links_.known_elsewhere_for(configuration.version);
+  const Duration lag = links_.time_since_advertised(configuration.version);
   metrics_.observe("pumicemast_gateway_configuration_lag_seconds", {{"source", source}}, lag);
   log_.line("configuration",
             "configuration version=" + std::to_string(configuration.version) + " source=" + source +
@@ -108,14 +108,14 @@
   // may have come before it.
   update_engines();
   links_.on_configuration_in_force(routes_->version(), document);
-  links_.tell_others();
+  links_.gossip_now();
 }
 
 void FleetState::on_configuration(FleetConfiguration configuration, const std::string& document) {
   apply_configuration(std::move(configuration), document, "store", "-");
 }
 
-void FleetState::on_other_configuration(const FetchedConfiguration& fetched) {
+void FleetState::on_fetched_configuration(const FetchedConfiguration& fetched) {
   if (routes_ && fetched.version <= routes_->version()) return;
   auto configuration = feed_.read_document(fetched.document);
   if (!configuration) {
@@ -147,14 +147,14 @@
 
 // ---- the list of back ends ----
 
-void FleetState::note_backend_list(const std::vector<BackendRecord>& records,
-                                   std::uint64_t revision) {
+void FleetState::apply_backend_list(const std::vector<BackendRecord>& records,
+                                    std::uint64_t revision) {
   pool_.on_list(records, revision, loop_now());
   log_.line("backend_list", "backends event=list count=" + std::to_string(records.size()) +
                                 " revision=" + std::to_string(revision));
 }
 
-void FleetState::note_backend(const BackendRecord& record) {
+void FleetState::apply_backend(const BackendRecord& record) {
   const bool was_leaving = pool_.leaving(record.id);
   pool_.on_record(record);
   if (was_leaving == record.draining) return;
@@ -163,25 +163,25 @@
                            (record.draining ? " state=DRAINING" : " state=READY"));
 }
 
-void FleetState::note_gone(const std::string& id, std::uint64_t revision) {
+void FleetState::apply_backend_removal(const std::string& id, std::uint64_t revision) {
   pool_.on_gone(id, revision, loop_now());
   log_.line("backend", "backend id=" + id + " state=GONE");
 }
 
 void FleetState::on_backend_list(const std::vector<BackendRecord>& records,
                                  std::uint64_t revision) {
-  note_backend_list(records, revision);
+  apply_backend_list(records, revision);
   list_relay_.on_listed(revision);
 }
 
 void FleetState::on_backend(const BackendRecord& record) {
-  note_backend(record);
+  apply_backend(record);
   list_relay_.on_record(record);
 }
 
 void FleetState::on_backend_gone(const std::string& id, std::uint64_t revision) {
-  note_gone(id, revision);
-  list_relay_.on_gone(id, revision);
+  apply_backend_removal(id, revision);
+  list_relay_.on_removed(id, revision);
 }
 
 void FleetState::on_backends_current(std::uint64_t revision) {
@@ -192,26 +192,26 @@
   if (!changes) return;
   BackendChanges to_agents = *changes;
   std::erase_if(to_agents.entries, [this](const auto& entry) { return !concerns_agents(entry); });
-  links_.pass_on(*changes, to_agents);
+  links_.relay_changes(*changes, to_agents);
   // Gateways that are cut off from the store hear of who leaves.
-  links_.tell_others();
+  links_.gossip_now();
 }
 
 void FleetState::on_backend_changes(PeerId gateway, const BackendChanges& changes) {
   using Step = BackendListFollower::Step;
   const Step step = list_relay_.on_changes(changes);
-  if (step == Step::ask_whole) on_list_revision_told(gateway, changes.revision);
+  if (step == Step::ask_whole) on_list_revision_advertised(gateway, changes.revision);
   if (step != Step::apply) return;
   if (changes.whole) {
     std::vector<BackendRecord> records;
     for (const BackendChange& entry : changes.entries) records.push_back(entry.record);
-    note_backend_list(records, changes.revision);
+    apply_backend_list(records, changes.revision);
   } else {
     for (const BackendChange& entry : changes.entries) {
       if (entry.gone) {
-        note_gone(entry.record.id, entry.record.revision);
+        apply_backend_removal(entry.record.id, entry.record.revision);
       } else {
-        note_backend(entry.record);
+        apply_backend(entry.record);
       }
     }
   }
@@ -223,16 +223,16 @@
 void FleetState::on_list_known() {
   if (list_known_) return;
   list_known_ = true;
-  reading_.on_list_known();
-  if (!reading_.reads()) on_read_by_others();
-  links_.tell_zone();  // Others wait for the list.
+  store_reader_.on_list_known();
+  if (!store_reader_.reads()) assume_store_reachable();
+  links_.send_digest_to_zone();  // Others wait for the list.
 }
 
-void FleetState::on_list_revision_told(PeerId gateway, std::uint64_t revision) {
-  list_holders_.on_heard(gateway, revision);
+void FleetState::on_list_revision_advertised(PeerId gateway, std::uint64_t revision) {
+  backend_list_holders_.on_revision_advertised(gateway, revision);
   if (!list_relay_.should_ask(revision, loop_now())) return;
-  if (const auto holder = list_holders_.next(list_relay_.revision())) {
-    links_.ask_backend_list(*holder);
+  if (const auto holder = backend_list_holders_.next(list_relay_.revision())) {
+    links_.request_backend_list(*holder);
   }
 }
 
@@ -255,21 +255,21 @@
 void FleetState::on_weights_named(const std::string& model, std::uint64_t version,
                                   Duration oldest) {
   const bool seen = oldest == Duration::zero();
-  note_weights(model, version, targets_.assumed_naming(oldest, loop_now()), !seen);
+  apply_named_weights(model, version, targets_.assumed_naming(oldest, loop_now()), !seen);
 }
 
-void FleetState::note_weights(const std::string& model, std::uint64_t version, TimePoint named_at,
-                              bool assumed) {
+void FleetState::apply_named_weights(const std::string& model, std::uint64_t version,
+                                     TimePoint named_at, bool assumed) {
   if (!targets_.on_named(model, version, named_at, assumed)) return;
   log_.line("weights", "weights model=" + model + " version=" + std::to_string(version) +
                            " age_ms=" + std::to_string(to_milliseconds(loop_now() - named_at)) +
                            " assumed=" + (assumed ? "yes" : "no") + " state=NAMED");
-  links_.tell_weights_named(model, version);
-  links_.tell_others();
+  links_.announce_weights(model, version);
+  links_.gossip_now();
 }
 
-void FleetState::on_near_gateway(PeerId gateway, bool reads) {
-  reading_.on_gateway_heard(gateway, reads);
+void FleetState::on_reader_status(PeerId gateway, bool reads) {
+  store_reader_.on_reader_status(gateway, reads);
 }
 
 void FleetState::on_store_reader(bool reads) {
@@ -278,14 +278,14 @@
   if (reads) {
     feed_.resume(list_relay_.revision());
     // Before others begin, too.
-    links_.tell_others();
+    links_.gossip_now();
     return;
   }
   feed_.pause();
-  on_read_by_others();
+  assume_store_reachable();
 }
 
-void FleetState::on_read_by_others() {
+void FleetState::assume_store_reachable() {
   // Whoever reads for the zone reaches the store, or this gateway would read itself.
   on_list_reachable(true);
   on_store_reachable(true);
@@ -300,9 +300,9 @@
   pool_.on_path_delay(engine, delay, loop_now());
 }
 
-void FleetState::tell_backlogs() {
+void FleetState::send_backlogs() {
   for (const PromptBacklog& backlog : pool_.take_changed_backlogs()) {
-    links_.tell_backlog(backlog.address, backlog.unread_tokens);
+    links_.send_backlog(backlog.address, backlog.unread_tokens);
   }
 }
 
@@ -319,25 +319,25 @@
                          (named ? " state=LIMITED" : " state=UNLIMITED"));
 }
 
-void FleetState::follow_limits() {
-  bool gateways_to_tell = false;
+void FleetState::propagate_limits() {
+  bool gossip_needed = false;
   for (const LimitChange& change : pool_.limits().take_changes()) {
     log_limit(change);
     pool_.permits().on_limit_changed(change.backend);
     if (change.source == LimitSource::agent) continue;
     // An agent tells all gateways; of other back ends the gateways tell each other.
-    const bool has_agent = permits_.tell_agent(change.backend);
-    gateways_to_tell = gateways_to_tell || !has_agent;
+    const bool has_agent = permits_.send_limit_to_agent(change.backend);
+    gossip_needed = gossip_needed || !has_agent;
   }
   const TimePoint now = loop_now();
   // The regular digests tell what changes more often.
-  if (!gateways_to_tell || now - limits_told_at_ < kLimitNewsInterval) return;
-  limits_told_at_ = now;
-  links_.tell_others();
+  if (!gossip_needed || now - limits_advertised_at_ < kLimitGossipInterval) return;
+  limits_advertised_at_ = now;
+  links_.gossip_now();
 }
 
-std::vector<ToldLimit> FleetState::limits_to_tell() const {
-  std::vector<ToldLimit> limits;
+std::vector<AdvertisedLimit> FleetState::limits_to_advertise() const {
+  std::vector<AdvertisedLimit> limits;
   for (const auto& [backend, belief] : pool_.limits().beliefs()) {
     const BackendRecord* record = pool_.record_of(backend);
     if (record == nullptr || links_.agent_of(record->address)) continue;
@@ -352,17 +352,17 @@
 
 void FleetState::on_permit_answer(PeerId issuer, const PermitAnswer& answer) {
   permits_.on_answer(issuer, answer);
-  follow_limits();
+  propagate_limits();
 }
 
-void FleetState::tell_crashes() {
-  const CrashNews news = quarantine_.take_news(loop_now());
-  if (!news.empty()) links_.tell_crashes(news);
+void FleetState::gossip_crashes() {
+  const CrashNews update = quarantine_.take_news(loop_now());
+  if (!update.empty()) links_.gossip_crashes(update);
 }
 
-void FleetState::on_crash_news(const CrashNews& news) {
+void FleetState::on_crash_update(const CrashNews& update) {
   // To be told on at once: the request may be under way to any gateway.
-  if (quarantine_.on_told(news, loop_now())) tell_crashes();
+  if (quarantine_.on_told(update, loop_now())) gossip_crashes();
 }
 
 CrashNews FleetState::own_verdicts() { return quarantine_.verdicts(loop_now()); }
@@ -376,7 +376,7 @@
 
 void FleetState::on_engine_report(const Address& engine, const LoadReport& report) {
   const auto ended = pool_.on_report(engine, report, loop_now());
-  follow_limits();
+  propagate_limits();
   if (ended) callbacks_.on_engine_ended(*ended);
   retry_share_.on_gateways_told(report.gateways, loop_now());
   retry_share_.on_largest_zone_told(report.largest_zone_gateways, loop_now());
@@ -389,28 +389,28 @@
 
 void FleetState::on_engine_agent_lost(const Address& engine) { pool_.on_agent_lost(engine); }
 
-void FleetState::on_other_knowledge(const GatewayKnowledge& knowledge) {
-  for (const LeftBackend& left : knowledge.leaving) {
+void FleetState::on_gossip_state(const GossipState& state) {
+  for (const LeftBackend& left : state.leaving) {
     pool_.on_leaving(left.id, left.revision);
   }
-  for (const NamedWeights& weights : knowledge.weights) {
-    note_weights(weights.model, weights.version, loop_now() - weights.age, weights.assumed);
+  for (const NamedWeights& weights : state.weights) {
+    apply_named_weights(weights.model, weights.version, loop_now() - weights.age, weights.assumed);
   }
-  for (const ToldLimit& told : knowledge.limits) {
-    if (pool_.life_of(told.backend.id) != told.backend) continue;
-    pool_.limits().on_told(told.backend.id, told.limit, LimitSource::gateway);
+  for (const AdvertisedLimit& advertised : state.limits) {
+    if (pool_.life_of(advertised.backend.id) != advertised.backend) continue;
+    pool_.limits().on_told(advertised.backend.id, advertised.limit, LimitSource::gateway);
   }
-  follow_limits();
+  propagate_limits();
 }
 
-GatewayKnowledge FleetState::own_knowledge() {
-  GatewayKnowledge knowledge;
-  knowledge.configuration_version = routes_ ? routes_->version() : 0;
-  knowledge.leaving.assign(pool_.recently_left().begin(), pool_.recently_left().end());
-  knowledge.weights = targets_.known_namings(loop_now());
-  knowledge.limits = limits_to_tell();
-  knowledge.crash_verdicts = quarantine_.verdict_digest(loop_now());
-  return knowledge;
+GossipState FleetState::own_gossip_state() {
+  GossipState state;
+  state.configuration_version = routes_ ? routes_->version() : 0;
+  state.leaving.assign(pool_.recently_left().begin(), pool_.recently_left().end());
+  state.weights = targets_.known_namings(loop_now());
+  state.limits = limits_to_advertise();
+  state.crash_verdicts = quarantine_.verdict_digest(loop_now());
+  return state;
 }
 
 }  // namespace pumicemast
--- a/src/gateway/peers/gateway_digest.cpp
+++ b/src/gateway/peers/gateway_digest.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 /// Back ends that one digest tells to be leaving, the newest.
-constexpr std::size_t kLeavingTold = 32;
+constexpr std::size_t kMaximumLeavingBackends = 32;
 /// Limits of back ends that one digest tells.
-constexpr std::size_t kLimitsTold = 32;
+constexpr std::size_t kMaximumLimits = 32;
 
 void add_leaving(wire::GatewayDigestT& message, const std::vector<LeftBackend>& leaving) {
-  const std::size_t count = std::min(kLeavingTold, leaving.size());
+  const std::size_t count = std::min(kMaximumLeavingBackends, leaving.size());
   for (std::size_t index = leaving.size() - count; index < leaving.size(); ++index) {
     auto left = std::make_unique<wire::LeavingBackendT>();
     left->id = leaving[index].id;
@@ -34,52 +34,52 @@
   }
 }
 
-void add_limits(wire::GatewayDigestT& message, const std::vector<ToldLimit>& limits,
+void add_limits(wire::GatewayDigestT& message, const std::vector<AdvertisedLimit>& limits,
                 TimePoint now) {
-  for (const ToldLimit& told : limits) {
-    if (message.limits.size() == kLimitsTold) return;
+  for (const AdvertisedLimit& advertised : limits) {
+    if (message.limits.size() == kMaximumLimits) return;
     auto entry = std::make_unique<wire::LimitedBackendT>();
-    entry->id = told.backend.id;
-    entry->started_at_ms = told.backend.started_at_ms;
-    entry->limit = encode(told.limit, now);
+    entry->id = advertised.backend.id;
+    entry->started_at_ms = advertised.backend.started_at_ms;
+    entry->limit = encode(advertised.limit, now);
     if (entry->limit) message.limits.push_back(std::move(entry));
   }
 }
 
 }  // namespace
 
-wire::GatewayDigestT encode(const GatewayKnowledge& knowledge, TimePoint now) {
+wire::GatewayDigestT encode(const GossipState& state, TimePoint now) {
   wire::GatewayDigestT message;
-  message.configuration_version = knowledge.configuration_version;
-  message.crash_verdicts = knowledge.crash_verdicts;
-  add_leaving(message, knowledge.leaving);
-  add_weights(message, knowledge.weights);
-  add_limits(message, knowledge.limits, now);
+  message.configuration_version = state.configuration_version;
+  message.crash_verdicts = state.crash_verdicts;
+  add_leaving(message, state.leaving);
+  add_weights(message, state.weights);
+  add_limits(message, state.limits, now);
   return message;
 }
 
-GatewayKnowledge decode(const wire::GatewayDigest& digest, TimePoint now) {
-  GatewayKnowledge knowledge;
-  knowledge.configuration_version = digest.configuration_version();
-  knowledge.crash_verdicts = digest.crash_verdicts();
+GossipState decode(const wire::GatewayDigest& digest, TimePoint now) {
+  GossipState state;
+  state.configuration_version = digest.configuration_version();
+  state.crash_verdicts = digest.crash_verdicts();
   if (digest.leaving() != nullptr) {
     for (const auto* left : *digest.leaving()) {
-      knowledge.leaving.push_back({left->id()->str(), left->revision()});
+      state.leaving.push_back({left->id()->str(), left->revision()});
     }
   }
   if (digest.weights() != nullptr) {
     for (const auto* named : *digest.weights()) {
-      knowledge.weights.push_back({named->model()->str(), named->version(),
-                                   milliseconds(named->age_ms()), named->assumed()});
+      state.weights.push_back({named->model()->str(), named->version(),
+                               milliseconds(named->age_ms()), named->assumed()});
     }
   }
   if (digest.limits() != nullptr) {
     for (const auto* entry : *digest.limits()) {
-      knowledge.limits.push_back(
+      state.limits.push_back(
           {{entry->id()->str(), entry->started_at_ms()}, decode(entry->limit(), now)});
     }
   }
-  return knowledge;
+  return state;
 }
 
 }  // namespace pumicemast
--- a/src/gateway/peers/gateway_digest.h
+++ b/src/gateway/peers/gateway_digest.h
@@ -12,22 +12,22 @@
 namespace pumicemast {
 
 /// The limit that a back end names, or that it names none any more.
-struct ToldLimit {
+struct AdvertisedLimit {
   BackendLife backend;
   RateLimit limit;
 };
 
 /// What a gateway tells others.
-struct GatewayKnowledge {
+struct GossipState {
   std::uint64_t configuration_version = 0;
   std::vector<LeftBackend> leaving;
   std::vector<NamedWeights> weights;
-  std::uint64_t crash_verdicts = 0;  ///< Digest of the requests in quarantine.
-  std::vector<ToldLimit> limits;     ///< Of back ends without agents.
+  std::uint64_t crash_verdicts = 0;     ///< Digest of the requests in quarantine.
+  std::vector<AdvertisedLimit> limits;  ///< Of back ends without agents.
 };
 
 /// Fills in what the knowledge tells; who the sender is, the caller adds.
-wire::GatewayDigestT encode(const GatewayKnowledge& knowledge, TimePoint now);
-GatewayKnowledge decode(const wire::GatewayDigest& digest, TimePoint now);
+wire::GatewayDigestT encode(const GossipState& state, TimePoint now);
+GossipState decode(const wire::GatewayDigest& digest, TimePoint now);
 
 }  // namespace pumicemast
--- a/src/gateway/peers/issuer_ranking.cpp
+++ b/src/gateway/peers/issuer_ranking.cpp
@@ -7,28 +7,28 @@
 
 /// An issuer that has answered nothing for so long is passed over: it may have ended, or be cut
 /// off.
-constexpr Duration kSilenceLimit = seconds(1);
+constexpr Duration kResponseTimeout = seconds(1);
 /// After that, one that is back is asked again.
-constexpr Duration kPassedOverFor = seconds(5);
+constexpr Duration kSkipPeriod = seconds(5);
 
 }  // namespace
 
-bool IssuerRanking::silent(PeerId gateway, TimePoint now) const {
+bool IssuerRanking::unresponsive(PeerId gateway, TimePoint now) const {
   const auto asked = unanswered_since_.find(gateway);
-  return asked != unanswered_since_.end() && now - asked->second > kSilenceLimit;
+  return asked != unanswered_since_.end() && now - asked->second > kResponseTimeout;
 }
 
 PeerId IssuerRanking::choose(const std::string& backend, PeerId self,
                              const std::vector<PeerId>& gateways, TimePoint now) {
   std::erase_if(unanswered_since_, [now](const auto& entry) {
-    return now - entry.second > kSilenceLimit + kPassedOverFor;
+    return now - entry.second > kResponseTimeout + kSkipPeriod;
   });
   const auto rank = [&backend](PeerId gateway) {
     return stable_hash(backend + "/" + std::to_string(gateway));
   };
   PeerId best = self;
   for (const PeerId gateway : gateways) {
-    if (!silent(gateway, now) && rank(gateway) > rank(best)) best = gateway;
+    if (!unresponsive(gateway, now) && rank(gateway) > rank(best)) best = gateway;
   }
   return best;
 }
--- a/src/gateway/peers/issuer_ranking.h
+++ b/src/gateway/peers/issuer_ranking.h
@@ -22,7 +22,7 @@
   void on_answered(PeerId gateway) { unanswered_since_.erase(gateway); }
 
  private:
-  bool silent(PeerId gateway, TimePoint now) const;
+  bool unresponsive(PeerId gateway, TimePoint now) const;
 
   std::map<PeerId, TimePoint> unanswered_since_;
 };
--- a/src/gateway/peers/permit_exchange.cpp
+++ b/src/gateway/peers/permit_exchange.cpp
@@ -6,13 +6,13 @@
 /// Permits that are held are looked after this often, so that unused ones go back.
 constexpr Duration kExchangeInterval = milliseconds(25);
 /// Longer than any limit that still issues one permit.
-constexpr Duration kIssuerLifetime = seconds(60);
+constexpr Duration kIssuerIdleTimeout = seconds(60);
 
 }  // namespace
 
 PermitExchange::PermitExchange(PeerId self, BackendPool& pool, FleetLinks& links,
-                               std::function<void()> on_room)
-    : self_(self), pool_(pool), links_(links), on_room_(std::move(on_room)) {}
+                               std::function<void()> on_permits_changed)
+    : self_(self), pool_(pool), links_(links), on_permits_changed_(std::move(on_permits_changed)) {}
 
 void PermitExchange::schedule() {
   if (!pool_.permits().active() || timer_.active()) return;
@@ -53,7 +53,7 @@
   links_.send(issuer, request);
 }
 
-bool PermitExchange::tell_agent(const std::string& backend) {
+bool PermitExchange::send_limit_to_agent(const std::string& backend) {
   const BackendRecord* record = pool_.record_of(backend);
   if (record == nullptr) return false;
   const auto agent = links_.agent_of(record->address);
@@ -72,7 +72,7 @@
 
 PermitAnswer PermitExchange::issue(const PermitRequest& request, TimePoint now) {
   Issuer& issuer = issuers_[BackendLife{request.backend, request.started_at_ms}];
-  issuer.asked_at = now;
+  issuer.last_request_at = now;
   return issuer.permits.on_request(request, now);
 }
 
@@ -89,13 +89,14 @@
   pool_.permits().on_answer(answer, now);
   const LimitSource source = links_.is_agent(issuer) ? LimitSource::agent : LimitSource::gateway;
   pool_.limits().on_told(answer.backend, answer.limit, source);
-  on_room_();
+  on_permits_changed_();
   schedule();
 }
 
 void PermitExchange::sweep(TimePoint now) {
-  std::erase_if(issuers_,
-                [now](const auto& entry) { return now - entry.second.asked_at > kIssuerLifetime; });
+  std::erase_if(issuers_, [now](const auto& entry) {
+    return now - entry.second.last_request_at > kIssuerIdleTimeout;
+  });
 }
 
 }  // namespace pumicemast
--- a/src/gateway/peers/permit_exchange.h
+++ b/src/gateway/peers/permit_exchange.h
@@ -20,14 +20,16 @@
 
 class PermitExchange {
  public:
-  /// @param on_room  a permit may be had, or the answer that none can: requests wait for either.
-  PermitExchange(PeerId self, BackendPool& pool, FleetLinks& links, std::function<void()> on_room);
+  /// @param on_permits_changed  a permit may be had, or the answer that none can: requests wait for
+  /// either.
+  PermitExchange(PeerId self, BackendPool& pool, FleetLinks& links,
+                 std::function<void()> on_permits_changed);
 
   /// Sends what is due, from the loop. Call after each event that may have asked for a permit.
   void schedule();
   /// Tells the back end's agent what its limit is, if it has an agent.
   /// @return whether it has.
-  bool tell_agent(const std::string& backend);
+  bool send_limit_to_agent(const std::string& backend);
   /// Another gateway asks for a permit for a back end without an agent.
   void on_request(PeerId gateway, const PermitRequest& request);
   void on_answer(PeerId issuer, const PermitAnswer& answer);
@@ -38,7 +40,7 @@
   /// Of one life of a back end.
   struct Issuer {
     PermitIssuer permits;
-    TimePoint asked_at{};
+    TimePoint last_request_at{};
   };
   void exchange();
   void send(const BackendRecord& record, const PermitCall& call, TimePoint now);
@@ -47,7 +49,7 @@
   PeerId self_;
   BackendPool& pool_;
   FleetLinks& links_;
-  std::function<void()> on_room_;
+  std::function<void()> on_permits_changed_;
   IssuerRanking ranking_;
   std::map<BackendLife, Issuer> issuers_;
   Timer timer_;
--- a/src/gateway/peers/store_reading_loop.h
+++ b/src/gateway/peers/store_reader_loop.h
@@ -1,14 +1,14 @@
-/// Carries out what StoreReading decides: calls at the contact board, and when to look again.
+/// Carries out what StoreReaderPolicy decides: calls at the contact board, and when to look again.
 #pragma once
 
 #include <functional>
 
 #include "common/event_loop.h"
-#include "gateway/peers/store_reading.h"
+#include "gateway/peers/store_reader_policy.h"
 
 namespace pumicemast {
 
-class StoreReadingLoop {
+class StoreReaderLoop {
  public:
   struct Callbacks {
     /// This gateway is to read the store, or leaves it to others.
@@ -17,24 +17,24 @@
     std::function<void(const Address& gateway)> on_contact;
   };
 
-  StoreReadingLoop(const Address& self, PeerId self_id, ContactBoard& board, Callbacks callbacks);
+  StoreReaderLoop(const Address& self, PeerId self_id, ContactBoard& registry, Callbacks callbacks);
   void start();
   /// A gateway of the same zone tells whether it reads the store, and reaches it.
-  void on_gateway_heard(PeerId gateway, bool reads);
+  void on_reader_status(PeerId gateway, bool reads);
   void on_list_known();
   bool reads() const { return reads_; }
 
  private:
-  void look();
+  void update();
   void search();
   void call(const ReadContact& action);
   void call(const ClaimContact& action);
   void on_answer(const ContactBoardAnswer& answer);
 
   Address self_;
-  ContactBoard& board_;
+  ContactBoard& registry_;
   Callbacks callbacks_;
-  StoreReading reading_;
+  StoreReaderPolicy policy_;
   bool reads_ = false;
   Timer timer_;
 };
--- a/src/gateway/peers/store_reading.h
+++ b/src/gateway/peers/store_reader_policy.h
@@ -13,12 +13,12 @@
 
 namespace pumicemast {
 
-class StoreReading {
+class StoreReaderPolicy {
  public:
-  StoreReading(const Address& self, PeerId self_id, StoreReaderOptions options = {});
+  StoreReaderPolicy(const Address& self, PeerId self_id, StoreReaderOptions options = {});
 
   /// A gateway of the same zone tells whether it reads the store, and reaches it.
-  void on_heard(PeerId gateway, bool reads, TimePoint now);
+  void on_reader_status(PeerId gateway, bool reads, TimePoint now);
   /// The list of back ends is known here.
   void on_list_known() { list_known_ = true; }
   bool list_known() const { return list_known_; }
@@ -27,15 +27,16 @@
   ContactSearch& search() { return search_; }
 
  private:
-  bool begins(TimePoint now);
+  bool should_begin(TimePoint now);
 
   StoreReaderOptions options_;
-  Duration own_share_;
+  Duration takeover_jitter_;
   StoreReaderRole role_;
   ContactSearch search_;
   bool list_known_ = false;
   bool reads_ = false;
-  std::optional<TimePoint> too_few_since_;  ///< Fewer gateways of the zone read than should.
+  std::optional<TimePoint>
+      too_few_readers_since_;  ///< Fewer gateways of the zone read than should.
 };
 
 }  // namespace pumicemast
--- a/src/gateway/peers/store_reader_role.cpp
+++ b/src/gateway/peers/store_reader_role.cpp
@@ -6,16 +6,18 @@
 
 namespace pumicemast {
 
-Duration takeover_share(PeerId self, const StoreReaderOptions& options) {
-  const auto spread = static_cast<std::uint64_t>(options.takeover_spread.count());
-  const std::uint64_t share = spread == 0 ? 0 : stable_hash(self, 1) % spread;
-  return Duration(static_cast<Duration::rep>(share));
+Duration takeover_jitter(PeerId self, const StoreReaderOptions& options) {
+  const auto max_jitter = static_cast<std::uint64_t>(options.max_takeover_jitter.count());
+  const std::uint64_t jitter = max_jitter == 0 ? 0 : stable_hash(self, 1) % max_jitter;
+  return Duration(static_cast<Duration::rep>(jitter));
 }
 
 StoreReaderRole::StoreReaderRole(PeerId self, StoreReaderOptions options)
-    : self_(self), options_(options), lifetime_(options.lifetime + takeover_share(self, options)) {}
+    : self_(self),
+      options_(options),
+      reader_timeout_(options.reader_timeout + takeover_jitter(self, options)) {}
 
-void StoreReaderRole::on_heard(PeerId gateway, bool reads, TimePoint now) {
+void StoreReaderRole::on_reader_status(PeerId gateway, bool reads, TimePoint now) {
   if (reads) {
     readers_[gateway] = now;
   } else {
@@ -25,15 +27,15 @@
 
 bool StoreReaderRole::should_read(TimePoint now) const {
   const auto before_this = std::count_if(readers_.begin(), readers_.end(), [&](const auto& reader) {
-    return reader.first < self_ && lives(reader.second, now);
+    return reader.first < self_ && is_live(reader.second, now);
   });
   return static_cast<std::size_t>(before_this) < options_.readers_per_zone;
 }
 
 std::size_t StoreReaderRole::readers(TimePoint now) const {
-  const auto living = std::count_if(readers_.begin(), readers_.end(),
-                                    [&](const auto& reader) { return lives(reader.second, now); });
-  return static_cast<std::size_t>(living);
+  const auto live = std::count_if(readers_.begin(), readers_.end(),
+                                  [&](const auto& reader) { return is_live(reader.second, now); });
+  return static_cast<std::size_t>(live);
 }
 
 }  // namespace pumicemast
--- a/src/gateway/peers/store_reader_role.h
+++ b/src/gateway/peers/store_reader_role.h
@@ -17,30 +17,30 @@
 struct StoreReaderOptions {
   std::size_t readers_per_zone = 2;
   /// A reader that was not heard of for so long no longer counts.
-  Duration lifetime = milliseconds(1200);
+  Duration reader_timeout = milliseconds(1200);
   /// Added by each gateway's own share, so that not all of a zone take over at once.
-  Duration takeover_spread = milliseconds(300);
+  Duration max_takeover_jitter = milliseconds(300);
 };
 
-/// The part of `options.takeover_spread` that is `self`'s own.
-Duration takeover_share(PeerId self, const StoreReaderOptions& options);
+/// The part of `options.max_takeover_jitter` that is `self`'s own.
+Duration takeover_jitter(PeerId self, const StoreReaderOptions& options);
 
 class StoreReaderRole {
  public:
   explicit StoreReaderRole(PeerId self, StoreReaderOptions options = {});
 
   /// A gateway of the same zone tells whether it reads the store, and reaches it.
-  void on_heard(PeerId gateway, bool reads, TimePoint now);
+  void on_reader_status(PeerId gateway, bool reads, TimePoint now);
   bool should_read(TimePoint now) const;
   /// Other gateways of the zone that read the store.
   std::size_t readers(TimePoint now) const;
 
  private:
-  bool lives(TimePoint heard_at, TimePoint now) const { return now - heard_at <= lifetime_; }
+  bool is_live(TimePoint seen_at, TimePoint now) const { return now - seen_at <= reader_timeout_; }
 
   PeerId self_;
   StoreReaderOptions options_;
-  Duration lifetime_;
+  Duration reader_timeout_;
   std::map<PeerId, TimePoint> readers_;  ///< By when they last said so.
 };
 
--- a/tests/gateway/configuration/configuration_spread_test.cpp
+++ b/tests/gateway/configuration/configuration_spread_test.cpp
@@ -18,9 +18,9 @@
   CPPUNIT_TEST_SUITE(ConfigurationSpreadTest);
   CPPUNIT_TEST(all_gateways_have_the_newest_within_three_seconds);
   CPPUNIT_TEST(a_document_is_not_sent_more_often_than_needed);
-  CPPUNIT_TEST(a_holder_keeps_little_for_others);
-  CPPUNIT_TEST(a_holder_that_hangs_is_passed_over);
-  CPPUNIT_TEST(a_full_link_between_regions_is_not_filled_further);
+  CPPUNIT_TEST(a_holder_queues_little_for_others);
+  CPPUNIT_TEST(a_holder_that_hangs_is_skipped);
+  CPPUNIT_TEST(a_full_link_between_regions_is_not_loaded_further);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr std::uint32_t kSeeds = 5;
@@ -61,7 +61,7 @@
     }
   }
 
-  void a_holder_keeps_little_for_others() {
+  void a_holder_queues_little_for_others() {
     constexpr std::size_t kLimitBytes = 5'000'000;  // 3 % of 160 MB.
     for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) {
       const SpreadOutcome outcome = spread(1'500'000, seed);
@@ -69,7 +69,7 @@
     }
   }
 
-  void a_holder_that_hangs_is_passed_over() {
+  void a_holder_that_hangs_is_skipped() {
     SpreadSetup setup;
     setup.document_bytes = 300'000;
     setup.reader_hangs_after = milliseconds(2100);
@@ -80,7 +80,7 @@
     }
   }
 
-  void a_full_link_between_regions_is_not_filled_further() {
+  void a_full_link_between_regions_is_not_loaded_further() {
     // What four gateways read from the store takes 3.2 s over it, and twice in 2 s is more than it
     // carries.
     SpreadSetup setup;
--- a/tests/gateway/peers/backend_list_relay_test.cpp
+++ b/tests/gateway/peers/backend_list_relay_test.cpp
@@ -23,7 +23,7 @@
 }
 
 /// What the message says once it has gone over the wire.
-BackendChanges over_the_wire(const BackendChanges& changes) {
+BackendChanges encode_and_decode(const BackendChanges& changes) {
   flatbuffers::FlatBufferBuilder builder;
   const wire::BackendChangesT message = encode(changes);
   builder.Finish(wire::BackendChanges::Pack(builder, &message));
@@ -35,21 +35,21 @@
 /// Two gateways of a zone read the list of back ends; the others and the agents follow them.
 class BackendListRelayTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(BackendListRelayTest);
-  CPPUNIT_TEST(nothing_is_passed_on_when_nothing_changed);
-  CPPUNIT_TEST(changes_are_passed_on_together);
-  CPPUNIT_TEST(a_follower_that_missed_some_asks_for_the_whole);
-  CPPUNIT_TEST(the_whole_list_is_asked_for_once_in_a_while);
-  CPPUNIT_TEST(two_readers_at_other_revisions_agree);
-  CPPUNIT_TEST(an_entry_without_an_address_costs_that_entry_alone);
-  CPPUNIT_TEST(an_agent_follows_gateways_over_lost_messages);
-  CPPUNIT_TEST(an_agent_reads_the_store_again_when_no_gateway_tells);
-  CPPUNIT_TEST(an_old_answer_of_the_store_undoes_nothing);
+  CPPUNIT_TEST(nothing_is_relayed_without_changes);
+  CPPUNIT_TEST(changes_are_relayed_together);
+  CPPUNIT_TEST(a_follower_that_missed_changes_requests_the_whole_list);
+  CPPUNIT_TEST(requests_for_the_whole_list_are_spaced);
+  CPPUNIT_TEST(two_readers_at_different_revisions_agree);
+  CPPUNIT_TEST(an_entry_without_an_address_is_skipped_alone);
+  CPPUNIT_TEST(an_agent_follows_gateways_despite_lost_messages);
+  CPPUNIT_TEST(an_agent_reads_the_store_again_without_gateway_updates);
+  CPPUNIT_TEST(an_outdated_store_answer_undoes_nothing);
   CPPUNIT_TEST_SUITE_END();
 
   TimePoint now_{seconds(100)};
 
  public:
-  void nothing_is_passed_on_when_nothing_changed() {
+  void nothing_is_relayed_without_changes() {
     BackendListRelay reader;
     reader.on_listed(10);
     CPPUNIT_ASSERT(!reader.on_current(10));
@@ -58,25 +58,26 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, reader.revision());
   }
 
-  void changes_are_passed_on_together() {
+  void changes_are_relayed_together() {
     BackendListRelay reader;
     reader.on_listed(10);
     reader.on_record(record("a", 11));
-    reader.on_gone("b", 12);
+    reader.on_removed("b", 12);
     const auto changes = reader.on_current(12);
     CPPUNIT_ASSERT(changes.has_value());
-    const BackendChanges told = over_the_wire(*changes);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, told.base);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{12}, told.revision);
-    CPPUNIT_ASSERT(!told.whole);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, told.entries.size());
-    CPPUNIT_ASSERT_EQUAL(std::string("a"), told.entries[0].record.id);
-    CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:80"), told.entries[0].record.address.to_string());
-    CPPUNIT_ASSERT(told.entries[1].gone);
+    const BackendChanges received = encode_and_decode(*changes);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, received.base);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{12}, received.revision);
+    CPPUNIT_ASSERT(!received.whole);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, received.entries.size());
+    CPPUNIT_ASSERT_EQUAL(std::string("a"), received.entries[0].record.id);
+    CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:80"),
+                         received.entries[0].record.address.to_string());
+    CPPUNIT_ASSERT(received.entries[1].gone);
     CPPUNIT_ASSERT(!reader.on_current(12));
   }
 
-  void a_follower_that_missed_some_asks_for_the_whole() {
+  void a_follower_that_missed_changes_requests_the_whole_list() {
     using Step = BackendListFollower::Step;
     BackendListFollower follower;
     follower.on_read(10);
@@ -87,7 +88,7 @@
     CPPUNIT_ASSERT(follower.on_changes({12, 15, false, {}}) == Step::ignore);
   }
 
-  void the_whole_list_is_asked_for_once_in_a_while() {
+  void requests_for_the_whole_list_are_spaced() {
     BackendListRelay follower;
     follower.on_listed(10);
     CPPUNIT_ASSERT(!follower.should_ask(10, now_));
@@ -97,7 +98,7 @@
   }
 
   /// Their calls to the store end at other revisions, with the same changes.
-  void two_readers_at_other_revisions_agree() {
+  void two_readers_at_different_revisions_agree() {
     BackendListFollower follower;
     follower.on_read(10);
     using Step = BackendListFollower::Step;
@@ -107,20 +108,20 @@
     CPPUNIT_ASSERT(follower.on_changes({14, 17, false, {}}) == Step::apply);
   }
 
-  void an_entry_without_an_address_costs_that_entry_alone() {
+  void an_entry_without_an_address_is_skipped_alone() {
     const BackendChanges changes{0, 5, true, {{record("a", 1), false}, {record("b", 2), false}}};
     wire::BackendChangesT message = encode(changes);
     message.entries[0]->address = "nowhere";
     flatbuffers::FlatBufferBuilder builder;
     builder.Finish(wire::BackendChanges::Pack(builder, &message));
-    const BackendChanges told =
+    const BackendChanges received =
         decode(*flatbuffers::GetRoot<wire::BackendChanges>(builder.GetBufferPointer()));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, told.entries.size());
-    CPPUNIT_ASSERT_EQUAL(std::string("b"), told.entries[0].record.id);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, received.entries.size());
+    CPPUNIT_ASSERT_EQUAL(std::string("b"), received.entries[0].record.id);
   }
 
   /// Whatever is lost on the way, the agent has the reader's list soon after the last change.
-  void an_agent_follows_gateways_over_lost_messages() {
+  void an_agent_follows_gateways_despite_lost_messages() {
     for (std::uint32_t seed = 1; seed <= 50; ++seed) {
       std::minstd_rand random(seed);
       BackendListRelay reader;
@@ -133,19 +134,19 @@
         ++revision;
         if (listed.contains(id) && random() % 3 == 0) {
           listed.erase(id);
-          reader.on_gone(id, revision);
+          reader.on_removed(id, revision);
         } else {
           listed[id] = revision;
           reader.on_record(record(id, revision));
         }
         const auto changes = reader.on_current(revision);
         const bool lost = random() % 3 == 0;
-        if (!lost) agent.on_changes(over_the_wire(*changes));
+        if (!lost) agent.on_changes(encode_and_decode(*changes));
       }
       if (agent.on_reader_heard(reader.revision(), now_)) {
         BackendChanges whole{0, reader.revision(), true, {}};
         for (const auto& [id, at] : listed) whole.entries.push_back({record(id, at), false});
-        agent.on_changes(over_the_wire(whole));
+        agent.on_changes(encode_and_decode(whole));
       }
       std::map<std::string, std::uint64_t> known;
       for (const BackendRecord& entry : agent.records()) known[entry.id] = entry.revision;
@@ -153,7 +154,7 @@
     }
   }
 
-  void an_agent_reads_the_store_again_when_no_gateway_tells() {
+  void an_agent_reads_the_store_again_without_gateway_updates() {
     EngineList agent;
     CPPUNIT_ASSERT(!agent.told_by_gateways(now_));
     agent.on_reader_heard(7, now_);
@@ -161,7 +162,7 @@
     CPPUNIT_ASSERT(!agent.told_by_gateways(now_ + seconds(5)));
   }
 
-  void an_old_answer_of_the_store_undoes_nothing() {
+  void an_outdated_store_answer_undoes_nothing() {
     EngineList agent;
     agent.on_listed({record("a", 5)}, 5);
     agent.on_changes({5, 6, false, {{record("b", 6), false}}});
--- a/tests/gateway/peers/contact_search_test.cpp
+++ b/tests/gateway/peers/contact_search_test.cpp
@@ -7,14 +7,14 @@
 /// A gateway that starts finds another one of its zone, or is the one that others find.
 class ContactSearchTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ContactSearchTest);
-  CPPUNIT_TEST(the_first_of_a_zone_enters_itself_and_reads);
-  CPPUNIT_TEST(the_others_ask_the_contact_and_do_not_read);
-  CPPUNIT_TEST(who_loses_the_claim_asks_the_winner);
-  CPPUNIT_TEST(a_silent_contact_is_replaced_by_one);
-  CPPUNIT_TEST(a_contact_whose_readers_are_heard_is_kept);
-  CPPUNIT_TEST(a_claim_without_an_answer_is_looked_up);
-  CPPUNIT_TEST(without_a_board_a_gateway_reads_itself);
-  CPPUNIT_TEST(a_contact_that_starts_anew_reads);
+  CPPUNIT_TEST(the_first_gateway_of_a_zone_claims_and_reads);
+  CPPUNIT_TEST(other_gateways_ask_the_contact_and_do_not_read);
+  CPPUNIT_TEST(a_gateway_that_loses_the_claim_asks_the_winner);
+  CPPUNIT_TEST(a_silent_contact_is_replaced_once);
+  CPPUNIT_TEST(a_contact_is_kept_while_readers_are_seen);
+  CPPUNIT_TEST(a_claim_without_an_answer_is_read_back);
+  CPPUNIT_TEST(without_a_registry_a_gateway_reads_the_store);
+  CPPUNIT_TEST(a_restarted_contact_reads);
   CPPUNIT_TEST_SUITE_END();
 
   TimePoint now = TimePoint(seconds(100));
@@ -39,33 +39,33 @@
   }
 
  public:
-  void the_first_of_a_zone_enters_itself_and_reads() {
+  void the_first_gateway_of_a_zone_claims_and_reads() {
     ContactSearch search = after_reading(empty());
-    CPPUNIT_ASSERT(!search.reads(now));
+    CPPUNIT_ASSERT(!search.should_read(now));
     const auto claim = next<ClaimContact>(search);
     CPPUNIT_ASSERT(claim && !claim->replaces);
     search.on_answer(names(self, 7), now);
-    CPPUNIT_ASSERT(search.reads(now));
+    CPPUNIT_ASSERT(search.should_read(now));
     CPPUNIT_ASSERT(!search.contact());
     CPPUNIT_ASSERT(!search.next_action(now + seconds(60)));
   }
 
-  void the_others_ask_the_contact_and_do_not_read() {
+  void other_gateways_ask_the_contact_and_do_not_read() {
     ContactSearch search = after_reading(names(other, 7));
     CPPUNIT_ASSERT(search.contact() && search.contact()->gateway == other);
-    CPPUNIT_ASSERT(!search.reads(now));
+    CPPUNIT_ASSERT(!search.should_read(now));
     CPPUNIT_ASSERT(!search.next_action(now));
   }
 
-  void who_loses_the_claim_asks_the_winner() {
+  void a_gateway_that_loses_the_claim_asks_the_winner() {
     ContactSearch search = after_reading(empty());
     CPPUNIT_ASSERT(next<ClaimContact>(search));
     search.on_answer(names(other, 8), now);
     CPPUNIT_ASSERT(search.contact() && search.contact()->gateway == other);
-    CPPUNIT_ASSERT(!search.reads(now));
+    CPPUNIT_ASSERT(!search.should_read(now));
   }
 
-  void a_silent_contact_is_replaced_by_one() {
+  void a_silent_contact_is_replaced_once() {
     ContactSearch search = after_reading(names(other, 7));
     now += milliseconds(999);
     CPPUNIT_ASSERT(!search.next_action(now));
@@ -74,20 +74,20 @@
     CPPUNIT_ASSERT(claim && claim->replaces == 7U);
     // Another one was faster: it is given its time.
     search.on_answer(names({"10.0.0.3", 7700}, 9), now);
-    CPPUNIT_ASSERT(!search.reads(now));
+    CPPUNIT_ASSERT(!search.should_read(now));
     CPPUNIT_ASSERT(!search.next_action(now + milliseconds(900)));
   }
 
-  void a_contact_whose_readers_are_heard_is_kept() {
+  void a_contact_is_kept_while_readers_are_seen() {
     ContactSearch search = after_reading(names(other, 7));
     for (int second = 0; second < 10; ++second) {
       now += milliseconds(900);
-      search.on_reader_heard(now);
+      search.on_reader_seen(now);
       CPPUNIT_ASSERT(!search.next_action(now));
     }
   }
 
-  void a_claim_without_an_answer_is_looked_up() {
+  void a_claim_without_an_answer_is_read_back() {
     ContactSearch search = after_reading(empty());
     CPPUNIT_ASSERT(next<ClaimContact>(search));
     search.on_answer({}, now);
@@ -95,26 +95,26 @@
     now += milliseconds(250);
     CPPUNIT_ASSERT(next<ReadContact>(search));
     search.on_answer(names(self, 7), now);
-    CPPUNIT_ASSERT(search.reads(now));
+    CPPUNIT_ASSERT(search.should_read(now));
   }
 
-  void without_a_board_a_gateway_reads_itself() {
+  void without_a_registry_a_gateway_reads_the_store() {
     ContactSearch search(self);
     for (int call = 0; call < 6; ++call) {
       CPPUNIT_ASSERT(next<ReadContact>(search));
       search.on_answer({}, now);
       now += milliseconds(250);
     }
-    CPPUNIT_ASSERT(search.reads(now));
+    CPPUNIT_ASSERT(search.should_read(now));
     // It is there again, and names somebody.
     CPPUNIT_ASSERT(next<ReadContact>(search));
     search.on_answer(names(other, 3), now);
-    CPPUNIT_ASSERT(!search.reads(now));
+    CPPUNIT_ASSERT(!search.should_read(now));
   }
 
-  void a_contact_that_starts_anew_reads() {
+  void a_restarted_contact_reads() {
     const ContactSearch search = after_reading(names(self, 7));
-    CPPUNIT_ASSERT(search.reads(now));
+    CPPUNIT_ASSERT(search.should_read(now));
   }
 };
 
--- a/tests/gateway/peers/fleet_start_test.cpp
+++ b/tests/gateway/peers/fleet_start_test.cpp
@@ -25,10 +25,10 @@
   CPPUNIT_TEST(a_configuration_is_in_force_within_a_second_after_all_started);
   CPPUNIT_TEST(a_configuration_is_in_force_within_a_second_while_all_start);
   CPPUNIT_TEST(a_configuration_is_in_force_within_a_second_while_the_store_is_slow);
-  CPPUNIT_TEST(the_store_sends_the_list_to_few_of_a_zone);
+  CPPUNIT_TEST(few_gateways_of_a_zone_read_the_list_from_the_store);
   CPPUNIT_TEST(a_contact_that_hangs_as_all_start_is_replaced);
-  CPPUNIT_TEST(the_expected_size_starts);
-  CPPUNIT_TEST(the_links_are_full_where_each_reads_alone);
+  CPPUNIT_TEST(a_fleet_of_the_expected_size_starts);
+  CPPUNIT_TEST(links_are_full_when_every_process_reads_the_store);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr std::uint32_t kSeeds = 5;
@@ -82,7 +82,7 @@
     }
   }
 
-  void the_store_sends_the_list_to_few_of_a_zone() {
+  void few_gateways_of_a_zone_read_the_list_from_the_store() {
     for (const std::size_t gateways : {2U, 11U, 33U, 100U}) {
       FleetStartSetup setup;
       setup.gateways_per_zone = gateways;
@@ -102,7 +102,7 @@
     }
   }
 
-  void the_expected_size_starts() {
+  void a_fleet_of_the_expected_size_starts() {
     FleetStartSetup setup;
     setup.zones = 24;
     setup.regions = 7;
@@ -114,7 +114,7 @@
     check(outcome.change_in_force <= kInForceLimit, outcome);
   }
 
-  void the_links_are_full_where_each_reads_alone() {
+  void links_are_full_when_every_process_reads_the_store() {
     FleetStartSetup setup;
     setup.reading = StartReading::each_alone;
     const FleetStartOutcome outcome = play(setup, "each-alone");
--- a/tests/gateway/peers/issuer_ranking_test.cpp
+++ b/tests/gateway/peers/issuer_ranking_test.cpp
@@ -10,7 +10,7 @@
   CPPUNIT_TEST_SUITE(IssuerRankingTest);
   CPPUNIT_TEST(all_gateways_choose_the_same_one);
   CPPUNIT_TEST(back_ends_are_spread_over_gateways);
-  CPPUNIT_TEST(a_silent_issuer_is_passed_over_for_a_while);
+  CPPUNIT_TEST(an_unresponsive_issuer_is_skipped_for_a_while);
   CPPUNIT_TEST_SUITE_END();
 
   const TimePoint start = TimePoint(seconds(100));
@@ -40,7 +40,7 @@
     CPPUNIT_ASSERT(chosen.size() > 25);
   }
 
-  void a_silent_issuer_is_passed_over_for_a_while() {
+  void an_unresponsive_issuer_is_skipped_for_a_while() {
     IssuerRanking ranking;
     const PeerId first = ranking.choose("p1", 0, others(0), start);
     ranking.on_asked(first, start);
--- a/tests/gateway/peers/store_reader_role_test.cpp
+++ b/tests/gateway/peers/store_reader_role_test.cpp
@@ -9,8 +9,8 @@
 
 class StoreReaderRoleTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StoreReaderRoleTest);
-  CPPUNIT_TEST(alone_a_gateway_reads);
-  CPPUNIT_TEST(two_of_a_zone_come_to_read);
+  CPPUNIT_TEST(a_gateway_alone_reads);
+  CPPUNIT_TEST(two_gateways_of_a_zone_settle_as_readers);
   CPPUNIT_TEST(a_reader_that_dies_is_replaced_in_time);
   CPPUNIT_TEST(a_reader_that_loses_the_store_is_replaced_at_once);
   CPPUNIT_TEST_SUITE_END();
@@ -22,14 +22,14 @@
   std::set<PeerId> without_store;
 
   /// Every living reader tells the others, as gateways do twice a second.
-  void tell() {
+  void exchange_statuses() {
     std::vector<bool> reads;
     for (const StoreReaderRole& role : roles) reads.push_back(role.should_read(now));
-    for (PeerId teller = 0; teller < roles.size(); ++teller) {
-      if (dead.contains(teller)) continue;
-      for (PeerId hearer = 0; hearer < roles.size(); ++hearer) {
-        const bool claims = reads[teller] && !without_store.contains(teller);
-        if (hearer != teller) roles[hearer].on_heard(teller, claims, now);
+    for (PeerId sender = 0; sender < roles.size(); ++sender) {
+      if (dead.contains(sender)) continue;
+      for (PeerId receiver = 0; receiver < roles.size(); ++receiver) {
+        const bool sender_reads = reads[sender] && !without_store.contains(sender);
+        if (receiver != sender) roles[receiver].on_reader_status(sender, sender_reads, now);
       }
     }
   }
@@ -41,11 +41,11 @@
     }
     return result;
   }
-  void pass(Duration time) {
+  void advance(Duration time) {
     const TimePoint end = now + time;
     while (now < end) {
       now += milliseconds(500);
-      tell();
+      exchange_statuses();
     }
   }
 
@@ -54,36 +54,36 @@
     for (PeerId id = 0; id < kGateways; ++id) roles.emplace_back(id);
   }
 
-  void alone_a_gateway_reads() {
+  void a_gateway_alone_reads() {
     CPPUNIT_ASSERT(StoreReaderRole(7).should_read(now));
     CPPUNIT_ASSERT_EQUAL(kGateways, readers().size());
   }
 
-  void two_of_a_zone_come_to_read() {
-    pass(seconds(2));
+  void two_gateways_of_a_zone_settle_as_readers() {
+    advance(seconds(2));
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, readers().size());
     const std::set<PeerId> before = readers();
-    pass(seconds(20));
+    advance(seconds(20));
     CPPUNIT_ASSERT(before == readers());
   }
 
   void a_reader_that_dies_is_replaced_in_time() {
-    pass(seconds(3));
+    advance(seconds(3));
     dead = readers();
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, dead.size());
     // Configurations are in force within two seconds, also now.
     now += milliseconds(1500);
     CPPUNIT_ASSERT(!readers().empty());
-    pass(seconds(2));
+    advance(seconds(2));
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, readers().size());
   }
 
   void a_reader_that_loses_the_store_is_replaced_at_once() {
-    pass(seconds(3));
+    advance(seconds(3));
     without_store.insert(*readers().begin());
-    tell();
+    exchange_statuses();
     CPPUNIT_ASSERT(readers().size() >= 2);
-    pass(seconds(1));
+    advance(seconds(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, readers().size());
   }
 };
--- a/tests/support/configuration_spread_world.cpp
+++ b/tests/support/configuration_spread_world.cpp
@@ -7,7 +7,7 @@
 
 #include "gateway/configuration/configuration_catch_up.h"
 #include "gateway/configuration/configuration_download.h"
-#include "gateway/configuration/configuration_shelf.h"
+#include "gateway/configuration/recent_configurations.h"
 #include "support/spread_network.h"
 
 namespace pumicemast {
@@ -27,7 +27,7 @@
   explicit Gateway(PeerId id) : catch_up(id), download(id) {}
   ConfigurationCatchUp catch_up;
   ConfigurationDownload download;
-  ConfigurationShelf shelf;
+  RecentConfigurations shelf;
   std::uint64_t version = 1;
   bool reads_store = false;
   bool store_reading = false;  ///< A document of the store is on its way.
@@ -95,7 +95,7 @@
     gateway.version = version;
     gateway.catch_up.on_in_force(version);
     gateway.download.on_in_force(version);
-    gateway.shelf.keep(version, std::string(setup_.document_bytes, 'd'));
+    gateway.shelf.add(version, std::string(setup_.document_bytes, 'd'));
   }
   bool all_have(std::uint64_t version) const {
     return std::all_of(gateways_.begin(), gateways_.end(), [&](const Gateway& gateway) {
@@ -150,9 +150,10 @@
   }
   void tell(std::size_t from, std::size_t to) {
     network_.send(from, to, kDigestBytes, [this, from, to, version = gateways_[from].version] {
-      gateways_[to].catch_up.on_heard(id(from), version, zone(from) == zone(to), events_.now());
+      gateways_[to].catch_up.on_version_advertised(id(from), version, zone(from) == zone(to),
+                                                   events_.now());
       if (zone(from) == zone(to)) {
-        ask(to, gateways_[to].download.on_heard(id(from), version));
+        ask(to, gateways_[to].download.on_version_advertised(id(from), version));
       }
       if (!gateways_[to].looks) look(to);
     });
@@ -171,7 +172,7 @@
     gateway.looks = gateway.catch_up.behind();
     if (!gateway.looks) return;
     if (const auto asked = gateway.catch_up.next_request(events_.now())) {
-      ask(index, gateway.download.begin(*asked, gateway.catch_up.version_at(*asked)));
+      ask(index, gateway.download.begin(*asked, gateway.catch_up.advertised_version(*asked)));
     }
     events_.schedule_in(kCatchUpInterval, [this, index] { look(index); });
   }
@@ -196,7 +197,7 @@
     ask(index, gateway.download.on_piece(piece));
     if (gateway.download.progressed()) gateway.catch_up.on_progress(events_.now());
     const std::uint64_t version = gateway.download.version();
-    if (gateway.download.take_whole()) take(index, version);
+    if (gateway.download.take_document()) take(index, version);
   }
   void send_document(std::size_t from, std::size_t to, std::size_t bytes,
                      std::function<void()> on_arrival) {
--- a/tests/support/fleet_start_world.cpp
+++ b/tests/support/fleet_start_world.cpp
@@ -8,8 +8,8 @@
 #include <vector>
 
 #include "gateway/configuration/configuration_catch_up.h"
-#include "gateway/peers/list_holders.h"
-#include "gateway/peers/store_reading.h"
+#include "gateway/peers/backend_list_holders.h"
+#include "gateway/peers/store_reader_policy.h"
 #include "support/spread_network.h"
 
 namespace pumicemast::tests {
@@ -46,9 +46,9 @@
 
   std::size_t zone;
   Address address;
-  StoreReading reading;
+  StoreReaderPolicy reading;
   ConfigurationCatchUp catch_up;
-  ListHolders holders;
+  BackendListHolders holders;
   std::set<std::size_t> known;  ///< Other gateways of the zone.
   std::set<std::size_t> welcomed;
   bool started = false;
@@ -268,7 +268,7 @@
   void on_holder_heard(std::size_t index, std::size_t holder) {
     Gateway& gateway = *gateways_[index];
     if (gateway.has_list || !gateway.started) return;
-    gateway.holders.on_heard(holder, kListRevision);
+    gateway.holders.on_revision_advertised(holder, kListRevision);
     if (events_.now() < gateway.next_ask) return;
     gateway.next_ask = events_.now() + kListAskInterval;
     ask_list(index, *gateway.holders.next(0), [this, index] { take_list(index); });
@@ -278,8 +278,8 @@
     if (!gateway.started || gateway.hangs) return;
     gateway.known.insert(from);
     if (gateway.welcomed.insert(from).second) welcome(index, from);
-    gateway.reading.on_heard(from, reads, events_.now());
-    gateway.catch_up.on_heard(from, version, true, events_.now());
+    gateway.reading.on_reader_status(from, reads, events_.now());
+    gateway.catch_up.on_version_advertised(from, version, true, events_.now());
   }
   void welcome(std::size_t index, std::size_t newcomer) {
     network_.send(index, newcomer, kDigestBytes, [this, newcomer, known = gateways_[index]->known] {
