--- a/src/gateway/configuration/configuration_catch_up.cpp
+++ b/src/gateway/configuration/configuration_catch_up.cpp
@@ -79,8 +79,9 @@
   if (asked_at_ && now - *asked_at_ < limit) return std::nullopt;
   const bool may_ask_other_zones = other_zone_turn_reached(now - first_advertised, store_wait, now);
 
-  // Who was not asked yet, then one that is near, then the newest version, then an order of each
-  // gateway's own, so that many that lack a version do not all ask the same one.
+  // Prefers holders that were not asked yet, then those of the own zone, then the newest version,
+  // then a hash order that differs per gateway, so that gateways that lack a version do not all ask
+  // the same holder.
   using Rank = std::tuple<bool, bool, std::uint64_t, std::uint64_t>;
   std::optional<std::pair<Rank, PeerId>> best;
   for (const auto& [gateway, holder] : holders_) {
--- a/src/gateway/configuration/configuration_download.cpp
+++ b/src/gateway/configuration/configuration_download.cpp
@@ -8,8 +8,8 @@
 namespace pumicemast {
 namespace {
 
-/// Asked for ahead of what has arrived: as much as fills 20 Mbit/s over a path of 50 ms. A holder
-/// that 38 gateways ask keeps 5 MB for them.
+/// Bytes requested ahead of those received: enough to fill a link of 20 Mbit/s at a round-trip time
+/// of 50 ms. A holder that 38 gateways ask queues 5 MB for them.
 constexpr std::uint64_t kWindowBytes = 4 * kConfigurationPieceBytes;
 
 }  // namespace
@@ -79,7 +79,8 @@
 
 ConfigurationPieceRequests ConfigurationDownload::request_more() {
   ConfigurationPieceRequests requests;
-  // The size is told by the first piece; most documents are not longer than that.
+  // The first piece states the document's size, and most documents fit into it: until it arrives,
+  // no further piece is requested.
   const std::uint64_t end = document_bytes_ == 0
                                 ? kConfigurationPieceBytes
                                 : std::min(document_bytes_, received_.size() + kWindowBytes);
--- a/src/gateway/configuration/configuration_download.h
+++ b/src/gateway/configuration/configuration_download.h
@@ -1,9 +1,10 @@
-/// Fetches a configuration document from another gateway piece by piece.
+/// Fetches a configuration document from other gateways piece by piece.
 ///
-/// A decision core: no I/O. A document of a megabyte takes a second over a busy link. Asked for as
-/// a whole, nobody could tell a slow answer from none, and a copy lay queued at the holder for each
-/// request. In pieces, each one that arrives shows progress, a holder keeps a few pieces for each
-/// gateway that asks, and what has arrived need not be sent again by another holder.
+/// A decision core: no I/O. A document of a megabyte takes a second over a busy link. If it were
+/// requested as a whole, a slow holder could not be told from one that does not answer, and each
+/// request would queue a full copy at the holder. With pieces, each arrival shows progress, a
+/// holder queues only a few pieces per requesting gateway, and received pieces need not be sent
+/// again when another holder takes over.
 #pragma once
 
 #include <cstdint>
@@ -18,10 +19,10 @@
 
 namespace pumicemast {
 
-/// A part of the document of one version.
+/// A contiguous part of the document of one version.
 struct ConfigurationPiece {
   std::uint64_t version = 0;
-  std::uint64_t document_bytes = 0;  ///< Of the whole.
+  std::uint64_t document_bytes = 0;  ///< Size of the whole document.
   std::uint64_t offset = 0;
   std::string_view bytes;
 };
@@ -34,31 +35,33 @@
 
 using ConfigurationPieceRequests = std::vector<ConfigurationPieceRequest>;
 
-/// One piece. With 24 of them a second a link of 6 Mbit/s is full; a link of 40 Mbit/s carries one
-/// in 7 ms, for which other messages on the connection wait at most.
+/// Largest size of a piece. 24 pieces a second fill a link of 6 Mbit/s. A link of 40 Mbit/s carries
+/// one in 7 ms, which bounds how long other messages on the connection wait behind it.
 constexpr std::uint64_t kConfigurationPieceBytes = 32U * 1024U;
 
 class ConfigurationDownload {
  public:
-  /// @param self  sets apart whom different processes ask first among equals.
+  /// @param self  seeds the hash order of equally loaded holders, which differs between processes.
   explicit ConfigurationDownload(PeerId self) : self_(self) {}
 
-  /// Asks `gateway`, which has `newest` in force, for what is missing, and nobody else any more.
-  /// What has arrived of another version is kept and finished if it is half of it or more.
+  /// Requests the missing pieces from `gateway` alone, which has `newest` in force. An older
+  /// version of which at least half has arrived is finished; any other version is discarded in
+  /// favour of `newest`.
   ConfigurationPieceRequests begin(PeerId gateway, std::uint64_t newest);
-  /// A near gateway tells which version it has. If it is the one that is fetched, what is left is
-  /// asked of it as well, so that who had it first does not serve all others alone. If it is newer
-  /// at a gateway that is asked, a download that has just begun turns to it.
+  /// A gateway of the same zone advertises the version that it has in force. If that version is
+  /// being fetched, remaining pieces are requested from this gateway too, so that the first holder
+  /// does not serve all others alone. If a current holder advertises a newer version and less than
+  /// half of the document has arrived, the download switches to the newer version.
   ConfigurationPieceRequests on_version_advertised(PeerId gateway, std::uint64_t newest);
-  /// @return what to ask for next; take_document() then says whether it was the last piece.
+  /// @return the pieces to request next; take_document() tells whether this was the last piece.
   ConfigurationPieceRequests on_piece(const ConfigurationPiece& piece);
-  /// Whether the last piece brought something new.
+  /// Whether the last piece contained new data.
   bool progressed() const { return progressed_; }
-  /// The whole document once all pieces have arrived, once.
+  /// The complete document when all pieces have arrived; returned only once.
   std::optional<std::string> take_document();
-  /// That is fetched, or was taken last.
+  /// The version that is being fetched or was taken last.
   std::uint64_t version() const { return version_; }
-  /// `version` is in force here: nothing up to it is needed any more.
+  /// `version` is in force here: a download of it or of an older version ends.
   void on_in_force(std::uint64_t version);
 
  private:
@@ -66,22 +69,21 @@
     return document_bytes_ > 0 && 2 * received_.size() >= document_bytes_;
   }
   void restart(std::uint64_t version);
-  /// Appends early pieces that no gap is before any more.
+  /// Appends out-of-order pieces that now follow the received bytes without a gap.
   void append_contiguous();
-  /// Who is asked next: the one with the fewest pieces asked for and not arrived. Who answers
-  /// faster is asked for more.
+  /// The holder with the fewest outstanding pieces, so that faster holders are asked for more.
   PeerId least_loaded_holder() const;
   ConfigurationPieceRequests request_more();
 
   PeerId self_;
-  std::set<PeerId> holders_;  ///< Who is asked; empty while nothing is wanted.
+  std::set<PeerId> holders_;  ///< Gateways that are asked for pieces; empty without a download.
   std::uint64_t version_ = 0;
-  std::uint64_t document_bytes_ = 0;  ///< 0 until the first piece has told.
-  std::string received_;              ///< From the beginning on, without gaps.
-  /// Pieces behind a gap, by offset: two holders answer in no common order.
+  std::uint64_t document_bytes_ = 0;  ///< 0 until the first piece has arrived.
+  std::string received_;              ///< Received from offset 0 on, without gaps.
+  /// Pieces behind a gap, by offset: pieces from two holders arrive in any order.
   std::map<std::uint64_t, std::string> out_of_order_;
-  std::map<std::uint64_t, PeerId> pending_;  ///< Asked for, by offset.
-  std::uint64_t requested_to_ = 0;           ///< Bytes up to here were asked for.
+  std::map<std::uint64_t, PeerId> pending_;  ///< Holders of outstanding pieces, by offset.
+  std::uint64_t requested_to_ = 0;           ///< End of the bytes that were requested.
   bool progressed_ = false;
 };
 
--- a/src/gateway/configuration/recent_configurations.h
+++ b/src/gateway/configuration/recent_configurations.h
@@ -1,7 +1,8 @@
-/// The documents that a gateway hands out to others: the one in force and the two before it.
+/// The documents that a gateway serves to others: the one in force and the two before it.
 ///
-/// A decision core: no I/O. Who has begun to fetch one is not made to begin anew by each change;
-/// with changes faster than a document crosses a link it would never have any.
+/// A decision core: no I/O. Older versions are kept so that a gateway that is fetching one need not
+/// restart after each change: with changes faster than a document crosses a link it would never
+/// receive any.
 #pragma once
 
 #include <algorithm>
@@ -18,17 +19,18 @@
 
 class RecentConfigurations {
  public:
-  /// `document` is in force here now.
+  /// Adds the version now in force, and drops the oldest beyond kMaximumVersions.
   void add(std::uint64_t version, std::string document) {
     documents_[version] = std::move(document);
     while (documents_.size() > kMaximumVersions) documents_.erase(documents_.begin());
   }
-  /// The document in force, or null.
+  /// The document in force, or null before the first one.
   const std::string* newest() const {
     return documents_.empty() ? nullptr : &documents_.rbegin()->second;
   }
-  /// The piece that begins at `offset`, or the first one of the newest version where `version` is
-  /// not kept. Empty when there is none. Valid until the next change.
+  /// The piece of `version` that begins at `offset`. If that version is not kept, the first piece
+  /// of the newest one. Empty when no document is kept or `offset` is past the end. The bytes stay
+  /// valid until the next change.
   std::optional<ConfigurationPiece> piece(std::uint64_t version, std::uint64_t offset) const {
     if (documents_.empty()) return std::nullopt;
     const auto found = documents_.find(version);
--- a/tests/gateway/configuration/configuration_catch_up_test.cpp
+++ b/tests/gateway/configuration/configuration_catch_up_test.cpp
@@ -65,7 +65,7 @@
     const auto first = catch_up.next_request(first_at);
     const auto second = catch_up.next_request(first_at + options.progress_timeout);
     CPPUNIT_ASSERT(first && second && *first != *second);
-    // When all were asked, they are asked again.
+    // After all holders were asked, they are asked again.
     CPPUNIT_ASSERT(catch_up.next_request(first_at + 2 * options.progress_timeout).has_value());
   }
 
@@ -138,13 +138,13 @@
     CPPUNIT_ASSERT(catch_up.next_request(now).has_value());
     now += options.progress_timeout;
     CPPUNIT_ASSERT(catch_up.next_request(now).has_value());
-    catch_up.on_progress(now);  // Of the one that was passed over.
+    catch_up.on_progress(now);  // A piece from the holder that was skipped.
     CPPUNIT_ASSERT(!catch_up.next_request(now + 2 * options.progress_timeout - milliseconds(1)));
     CPPUNIT_ASSERT(catch_up.next_request(now + 2 * options.progress_timeout).has_value());
   }
 
   void gateways_of_a_zone_ask_other_zones_in_turn() {
-    // Ten of a zone that know each other, and a holder in another zone.
+    // Ten gateways of one zone that know each other, and a holder in another zone.
     std::size_t asking_at_once = 0;
     for (PeerId self = 1; self <= 10; ++self) {
       ConfigurationCatchUp catch_up(self, options);
@@ -155,7 +155,7 @@
         if (other != self) catch_up.on_version_advertised(other, 4, true, asked_at);
       }
       if (catch_up.next_request(asked_at)) ++asking_at_once;
-      // When those that go before it are not heard of any more, its turn comes.
+      // When the gateways before it send no more digests, its turn comes.
       CPPUNIT_ASSERT(catch_up.next_request(asked_at + seconds(2)).has_value());
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, asking_at_once);
--- a/tests/gateway/configuration/configuration_download_test.cpp
+++ b/tests/gateway/configuration/configuration_download_test.cpp
@@ -35,7 +35,7 @@
     recent.add(version, document(seed));
     return recent;
   }
-  /// Answers requests from `shelf` until nothing is asked for; `most` of them.
+  /// Answers requests from `recent` until none are left, at most `max_answers` of them.
   static std::size_t answer(ConfigurationDownload& download, ConfigurationPieceRequests requests,
                             const RecentConfigurations& recent, std::size_t max_answers = 1000) {
     std::size_t answered = 0;
@@ -148,7 +148,7 @@
   void an_empty_or_foreign_piece_changes_nothing() {
     ConfigurationDownload download(1);
     const RecentConfigurations recent = recent_of(5, 'x');
-    CPPUNIT_ASSERT(download.on_piece(*recent.piece(5, 0)).empty());  // Nothing was asked for.
+    CPPUNIT_ASSERT(download.on_piece(*recent.piece(5, 0)).empty());  // No piece was requested.
     download.begin(7, 5);
     download.on_piece({5, kBytes, 0, ""});
     CPPUNIT_ASSERT(!download.progressed());
@@ -169,7 +169,7 @@
     }
     CPPUNIT_ASSERT(*recent.newest() == "document 4");
     CPPUNIT_ASSERT(recent.piece(2, 9)->bytes == "2");
-    // The oldest is gone: the newest from its beginning instead.
+    // The oldest version is dropped: the newest one is served from its beginning instead.
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, recent.piece(1, 9)->version);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, recent.piece(1, 9)->offset);
     CPPUNIT_ASSERT(!recent.piece(4, 1000));
--- a/tests/gateway/configuration/configuration_spread_test.cpp
+++ b/tests/gateway/configuration/configuration_spread_test.cpp
@@ -1,11 +1,11 @@
-// What users saw: after two configurations of several hundred KB, 2 s apart, two gateways still
-// answered 404 by the older one more than 3 s after the second was acknowledged, and one ended
-// over its memory limit of 160 MB.
-// Order of events: two gateways of a zone read the document from the store, the others ask them.
-// Sending it to all takes longer than the limit for an answer, so each asks another holder, also
-// in other regions, then the same ones again.
-// Cause: a fixed time for a whole document, and holders that queue a copy for each request: what
-// is sent in vain makes the next answer later.
+// Guards against gateways that keep an old configuration, and against running out of memory, while
+// large documents are distributed. After two configurations of several hundred KB, 2 s apart, two
+// gateways still answered 404 by the older one more than 3 s after the second was acknowledged, and
+// one gateway exceeded its memory limit of 160 MB.
+// Two gateways of a zone read the document from the store and the others ask them. Sending it to
+// all took longer than the fixed timeout for a whole document, so each gateway asked further
+// holders, also in other regions, and then the same ones again. Holders queued a copy for each
+// request, and the useless copies delayed the next ones.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <string>
@@ -52,7 +52,7 @@
   }
 
   void a_document_is_not_sent_more_often_than_needed() {
-    // 39 gateways lack two versions; those that read the store get them there.
+    // 39 gateways lack two versions; the store readers among them fetch them from the store.
     for (const std::size_t bytes : {700'000U, 1'500'000U}) {
       for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) {
         const SpreadOutcome outcome = spread(bytes, seed);
@@ -81,8 +81,8 @@
   }
 
   void a_full_link_between_regions_is_not_loaded_further() {
-    // What four gateways read from the store takes 3.2 s over it, and twice in 2 s is more than it
-    // carries.
+    // The reads of four gateways from the store take 3.2 s over this link; two versions within 2 s
+    // exceed its capacity.
     SpreadSetup setup;
     setup.document_bytes = 1'000'000;
     setup.region_mbit_per_s = 10;
