--- a/src/gateway/peers/backend_list_holders.h
+++ b/src/gateway/peers/backend_list_holders.h
@@ -1,7 +1,8 @@
-/// Chooses whom to ask for the whole list of back ends.
+/// Chooses the gateway to request the whole list of back ends from.
 ///
-/// A decision core: no I/O. Where all of a zone lack the list, one gateway could not send it to all
-/// of them soon: who has it passes it on, and each asks others before it asks the same one again.
+/// A decision core: no I/O. When all gateways of a zone lack the list, a single holder could not
+/// send it to all of them quickly. So every gateway that has received the list serves it, and each
+/// gateway asks other holders before it asks the same one again.
 #pragma once
 
 #include <cstdint>
@@ -14,14 +15,15 @@
 
 class BackendListHolders {
  public:
-  /// @param self  sets apart whom different gateways ask first.
+  /// @param self  seeds the hash order of holders that were asked equally often.
   explicit BackendListHolders(PeerId self) : self_(self) {}
 
-  /// The list of `gateway`, of the own zone, is of that revision.
+  /// `gateway`, which is in the own zone, advertises the revision of its list.
   void on_revision_advertised(PeerId gateway, std::uint64_t revision) {
     holders_[gateway].revision = revision;
   }
-  /// The holder of a list newer than `known` that was asked least often; it counts as asked.
+  /// The least often asked holder of a list newer than revision `known`, if any; the call counts it
+  /// as asked.
   std::optional<PeerId> next(std::uint64_t known);
 
  private:
--- a/src/gateway/peers/backend_list_relay.cpp
+++ b/src/gateway/peers/backend_list_relay.cpp
@@ -3,8 +3,9 @@
 namespace pumicemast {
 namespace {
 
-/// The whole list, 20 KB for 120 back ends, is within a zone in some milliseconds; an answer that
-/// does not come is asked for again from whoever tells next of a newer list.
+/// Shortest time between two requests for the whole list. The list, 20 KB for 120 back ends,
+/// crosses a zone within milliseconds. If no answer arrives, the next gateway that advertises a
+/// newer list leads to another request.
 constexpr Duration kRequestInterval = milliseconds(300);
 
 }  // namespace
--- a/src/gateway/peers/backend_list_relay.h
+++ b/src/gateway/peers/backend_list_relay.h
@@ -1,7 +1,8 @@
-/// A gateway's part in passing on the list of back ends within its zone.
+/// Relays the list of back ends within a zone, as sender and as receiver.
 ///
-/// A decision core: no I/O. A gateway that reads the list from the store gathers what changed and
-/// has it told to the others; the others take it and ask for the whole list when they missed some.
+/// A decision core: no I/O. A gateway that reads the list from the store collects the changes and
+/// relays them to the other gateways of its zone; these apply them, and request the whole list when
+/// they missed some.
 #pragma once
 
 #include <optional>
@@ -13,23 +14,23 @@
 
 class BackendListRelay {
  public:
-  // What this gateway reads itself.
+  // Read from the store by this gateway.
   void on_listed(std::uint64_t revision);
   void on_record(const BackendRecord& record) { changes_.push_back({record, false}); }
   void on_removed(const std::string& id, std::uint64_t revision);
-  /// Everything up to `revision` was told.
-  /// @return what the others of the zone lack; empty when nothing changed.
+  /// All changes up to `revision` have been read.
+  /// @return the changes since the last call, to be relayed; empty when there are none.
   std::optional<BackendChanges> on_current(std::uint64_t revision);
 
-  // What others pass on.
+  // Received from other gateways.
   BackendListFollower::Step on_changes(const BackendChanges& changes) {
     return follower_.on_changes(changes);
   }
-  /// Another gateway's list is of that revision.
-  /// @return whether to ask it for the whole list now.
+  /// Another gateway advertises that its list has `revision`.
+  /// @return whether to request the whole list now.
   bool should_ask(std::uint64_t revision, TimePoint now);
 
-  /// Of the list as it is known here.
+  /// Revision of the list as known here; 0 for none.
   std::uint64_t revision() const { return follower_.revision(); }
 
  private:
--- a/src/gateway/peers/configuration_exchange.cpp
+++ b/src/gateway/peers/configuration_exchange.cpp
@@ -3,7 +3,7 @@
 namespace pumicemast {
 namespace {
 
-/// While a newer configuration is known elsewhere, it is looked so often whether to ask for it.
+/// Interval at which a gateway checks whether to request a configuration that is newer elsewhere.
 constexpr Duration kCatchUpInterval = milliseconds(50);
 
 }  // namespace
@@ -59,7 +59,7 @@
   if (version_ <= request.known_version()) return;
   wire::ConfigurationDocumentT message;
   if (!request.pieces()) {
-    // A gateway of an earlier release: it knows no pieces.
+    // A gateway of an earlier release, which does not support pieces, gets the whole document.
     if (recent_.newest() == nullptr) return;
     message.version = version_;
     message.document = *recent_.newest();
--- a/src/gateway/peers/contact_search.cpp
+++ b/src/gateway/peers/contact_search.cpp
@@ -36,7 +36,7 @@
 void ContactSearch::on_answer(const ContactBoardAnswer& answer, TimePoint now) {
   call_outstanding_ = false;
   if (answer.state == ContactBoardState::unavailable) {
-    // A claim without an answer may have been carried out: the board is read again.
+    // A claim without an answer may have taken effect: the registry is read again.
     registry_empty_ = false;
     contact_.reset();
     next_call_at_ = now + options_.retry_interval;
--- a/src/gateway/peers/contact_search.h
+++ b/src/gateway/peers/contact_search.h
@@ -1,10 +1,11 @@
-/// Finds a gateway of the own zone at the start, or becomes the one that others find.
+/// Finds a first gateway of the own zone when this one starts, or makes this one the zone's
+/// contact.
 ///
-/// A decision core: no I/O. A gateway that has just started knows no other one. Were each to read
-/// the list of back ends itself, hundreds of copies would fill the links between regions; so one
-/// gateway of a zone enters itself at the contact board and reads, and the others ask it. An entry
-/// is claimed on the condition that it has not changed: of many that miss a contact, one replaces
-/// it.
+/// A decision core: no I/O. A gateway that has just started knows no other gateway. If each read
+/// the list of back ends from the store, hundreds of copies would fill the links between regions.
+/// So one gateway of a zone registers itself as the zone's contact and reads the list, and the
+/// others ask it. An entry is replaced only if it has not changed since it was read: of many
+/// gateways that find the contact silent, one replaces it.
 #pragma once
 
 #include <optional>
@@ -16,19 +17,20 @@
 namespace pumicemast {
 
 struct ContactSearchOptions {
-  /// A contact of which nothing was heard for so long is replaced.
+  /// A contact is replaced when this time has passed since it was found and since a reader of the
+  /// zone was last seen.
   Duration contact_timeout = milliseconds(1000);
-  /// Added by each gateway's own share.
+  /// Upper bound of the jitter that each gateway adds to contact_timeout.
   Duration max_timeout_jitter = milliseconds(300);
-  /// Between two calls after one that failed.
+  /// Wait before the next call to the registry after one that failed.
   Duration retry_interval = milliseconds(200);
-  /// A board that does not answer for so long is done without.
+  /// When the registry has not answered for this time, this gateway reads the store without it.
   Duration registry_timeout = milliseconds(1000);
 };
 
 struct ReadContact {};
 struct ClaimContact {
-  std::optional<std::uint64_t> replaces;  ///< Nothing: there is no entry.
+  std::optional<std::uint64_t> replaces;  ///< Revision of the entry to replace; empty for none.
 };
 using ContactAction = std::variant<ReadContact, ClaimContact>;
 
@@ -36,16 +38,16 @@
  public:
   explicit ContactSearch(Address self, ContactSearchOptions options = {});
 
-  /// The call to make at the board now, if any; on_answer() is owed for each.
+  /// The call to make to the registry now, if any. on_answer() must follow each call.
   std::optional<ContactAction> next_action(TimePoint now);
   void on_answer(const ContactBoardAnswer& answer, TimePoint now);
-  /// A gateway of the zone has told that it reads the list.
+  /// A gateway of the zone has advertised that it reads the store.
   void on_reader_seen(TimePoint now) { reader_seen_at_ = now; }
 
-  /// Another gateway, to be asked for what it knows.
+  /// The gateway to exchange digests with, if it is not this one.
   const std::optional<ContactEntry>& contact() const { return contact_; }
-  /// Whether this gateway is to read the list itself: others ask it for the list, or there is
-  /// nobody to ask.
+  /// Whether this gateway is to read the list from the store: it is the zone's contact, or the
+  /// registry does not answer.
   bool should_read(TimePoint now) const;
 
  private:
--- a/src/gateway/peers/fleet_links.cpp
+++ b/src/gateway/peers/fleet_links.cpp
@@ -13,19 +13,21 @@
 
 constexpr Duration kTickInterval = milliseconds(500);
 constexpr Duration kUnansweredLimit = seconds(2);
-/// In one connection. A peer that reads leaves a few messages; the largest, a configuration, is
-/// about 50 KB.
+/// Bytes that may be queued in one connection. A peer that keeps reading leaves only a few messages
+/// queued; the largest, a configuration, is about 50 KB.
 constexpr std::size_t kQueueLimitBytes = 4U << 20U;
-/// While more than so much waits for all others, requests for the whole list go unanswered: what is
-/// urgent, as a configuration is, would wait behind the lists. Others hold it too.
+/// While more bytes than this are queued for all peers together, requests for the whole list are
+/// not answered: urgent messages, such as configurations, would wait behind the lists. Other
+/// gateways have the list too.
 constexpr std::size_t kListQueueLimitBytes = 1U << 20U;
-/// Gateways that each one tells regularly: news reaches all in a few steps.
+/// Ring successors that each gateway sends its regular digests to: a change reaches all gateways in
+/// a few hops.
 constexpr std::size_t kRingFanOut = 3;
-/// Further gateways, drawn by lot, that hear of a change at once: with all of them the messages
-/// of one change would grow with the square of their number.
+/// Further gateways, drawn at random, that get a change at once. If all got it, the messages for
+/// one change would grow with the square of the number of gateways.
 constexpr std::size_t kRandomFanOut = 5;
-/// Engines are described to the agents of the zone every so many ticks, and to others, which have
-/// gateways of their own, more rarely.
+/// Ticks between two descriptions of an engine to its agent. Agents of other zones get them less
+/// often, since the gateways of their own zone send them too.
 constexpr std::uint64_t kDescriptionIntervalTicks = 4;
 constexpr std::uint64_t kOtherZoneDescriptionIntervalTicks = 24;
 
@@ -105,7 +107,7 @@
 
 void FleetLinks::bootstrap_gateway(PeerId newcomer, std::uint64_t newcomer_list_revision) {
   const bool first_time = bootstrapped_.insert(newcomer).second;
-  // Another process of that gateway has no list. Two that have none do not answer each other.
+  // A restarted gateway has no list. Two gateways without a list do not answer each other.
   const bool started_again = newcomer_list_revision == 0 && list_revision_ > 0;
   if (!first_time && !started_again) return;
   wire::GatewayListT message;
@@ -192,7 +194,7 @@
 }
 
 std::vector<PeerId> FleetLinks::ring_successors() const {
-  // The next few in the order of their ids: a ring that every gateway is part of.
+  // The next gateways in the order of ids, which form a ring of all gateways.
   std::vector<PeerId> chosen;
   auto position = gateways_.upper_bound(peer_id(own_address_));
   while (chosen.size() < std::min(kRingFanOut, gateways_.size())) {
@@ -300,7 +302,7 @@
   message.address = own_address_.to_string();
   message.zone = zone_;
   message.reads_store = reads_store_ && store_reachable_;
-  // Whoever knows the list may be asked for it.
+  // Every gateway that has the list may be asked for it, not only store readers.
   message.list_revision = list_revision_;
   links_.send(peer, message);
 }
@@ -387,7 +389,7 @@
   for (const auto* gateway : *list.gateways()) {
     const std::string address = gateway->address()->str();
     const bool is_new = add_gateway(address, text_of(gateway->zone()));
-    // So that all of a zone know each other before they decide who reads the store.
+    // All gateways of a zone must know each other before they decide which of them read the store.
     const PeerId peer = stable_hash(address);
     if (is_new && same_zone(peer)) send_digest(peer);
   }
@@ -398,7 +400,8 @@
   if (same_zone(peer)) {
     bootstrap_gateway(peer, digest.list_revision());
     listener_.on_reader_status(peer, digest.reads_store());
-    // A change reaches each gateway from the readers: only without any list others are asked, too.
+    // Changes arrive from the store readers. Other gateways are asked for the list only while none
+    // is known here.
     if (digest.reads_store() || list_revision_ == 0) {
       listener_.on_list_revision_advertised(peer, digest.list_revision());
     }
--- a/src/gateway/peers/fleet_links.h
+++ b/src/gateway/peers/fleet_links.h
@@ -1,9 +1,9 @@
-/// A gateway's connections to the agents beside the engines and to other gateways.
+/// A gateway's connections to the agents of engines and to other gateways.
 ///
-/// Agents tell the load of their engines and which other gateways there are. Gateways tell
-/// each other which configuration is in force and which back ends leave, so that one that is
-/// cut off from the platform's store still learns it. Those that read the store pass the list of
-/// back ends on to the gateways and agents of their zone.
+/// Agents report the load of their engines and which other gateways exist. Gateways gossip which
+/// configuration is in force and which back ends leave, so that a gateway that is cut off from the
+/// platform's store still learns it. Store readers relay the list of back ends to the gateways and
+/// agents of their zone.
 #pragma once
 
 #include <map>
@@ -28,7 +28,8 @@
 
 namespace pumicemast {
 
-/// Agents exchange weights with those beside other engines; of plain services they need nothing.
+/// The part of the back-end list that is sent: gateways get all of it, agents the engines only.
+/// Agents exchange weights with the agents of other engines and have no use for plain services.
 enum class ListScope { all, engines };
 
 class FleetLinksListener {
@@ -36,22 +37,22 @@
   virtual ~FleetLinksListener() = default;
   virtual void on_engine_report(const Address& engine, const LoadReport& report) = 0;
   virtual void on_others_backlog(const Address& engine, std::uint32_t unread_tokens) = 0;
-  /// A message to the agent beside the engine and back took so long.
+  /// The round-trip time of a message to the engine's agent.
   virtual void on_path_delay(const Address& engine, Duration delay) = 0;
   virtual void on_engine_agent_lost(const Address& engine) = 0;
   virtual void on_gossip_state(const GossipState& state) = 0;
   virtual void on_fetched_configuration(const FetchedConfiguration& fetched) = 0;
-  /// A gateway of the zone tells whether it reads the store, and reaches it.
+  /// A gateway of the zone advertises whether it is a store reader and reaches the store.
   virtual void on_reader_status(PeerId gateway, bool reads) = 0;
-  /// A gateway of the zone passes on what it read.
+  /// A gateway of the zone relays the changes that it read, or sends its whole list.
   virtual void on_backend_changes(PeerId gateway, const BackendChanges& changes) = 0;
-  /// The list of a gateway of the zone is of that revision.
+  /// A gateway of the zone advertises the revision of its list of back ends.
   virtual void on_list_revision_advertised(PeerId gateway, std::uint64_t revision) = 0;
-  /// The list as it is known here, and its revision.
+  /// The list of back ends as known here, and its revision.
   virtual BackendChanges own_backend_list(ListScope scope) = 0;
   virtual GossipState own_gossip_state() = 0;
   virtual void on_crash_update(const CrashNews& update) = 0;
-  /// The evidence of all verdicts on requests.
+  /// The evidence behind all requests in quarantine here.
   virtual CrashNews own_verdicts() = 0;
   virtual void on_permit_request(PeerId gateway, const PermitRequest& request) = 0;
   virtual void on_permit_answer(PeerId issuer, const PermitAnswer& answer) = 0;
@@ -59,55 +60,58 @@
 
 class FleetLinks {
  public:
-  /// @param zone  where this gateway stands.
+  /// @param zone  of this gateway.
   FleetLinks(Address own_address, std::string zone, std::vector<Address> seeds, Metrics& metrics,
              FleetLinksListener& listener);
 
   /// @return false when the own address cannot be bound.
   bool start();
-  /// The engines that this gateway is to hear of; an agent is thought beside each, on the port of
-  /// the own address.
+  /// Sets the engines whose load this gateway subscribes to. Each is assumed to have an agent on
+  /// its host, at the port of the own address.
   void set_engines(const std::vector<EnginePlace>& engines);
-  /// The list of back ends is of that revision here.
+  /// Sets the revision of the list of back ends as known here.
   void set_list_revision(std::uint64_t revision) { list_revision_ = revision; }
-  /// Tells the gateways and agents of the zone what this gateway has read.
+  /// Relays changes that this gateway read from the store to the gateways and agents of the zone.
   void relay_changes(const BackendChanges& to_gateways, const BackendChanges& to_agents);
   void request_backend_list(PeerId gateway);
-  /// How many first attempts for engines reach this gateway in a second; agents deal room by it.
+  /// Sets the rate of first attempts for engines at this gateway; agents divide the capacity of
+  /// their engines among gateways by it.
   void set_demand(double requests_per_s) { demand_ = requests_per_s; }
-  /// What agents are told of their engines; empty services have none.
+  /// Sets the descriptions that are sent to the agents of engines.
   void set_descriptions(const std::map<Address, wire::EngineDescriptionT>& by_engine);
-  /// Tells some gateways at once, after something changed; the others hear it from them, or from
-  /// the next regular digests.
+  /// Sends a digest to some gateways at once, after a change; the change reaches the others through
+  /// them or with the next regular digests.
   void gossip_now();
-  /// Tells `gateway`, which stands in the own zone, what is known here; it answers with the same.
+  /// Sends a digest to `gateway`, which is in the own zone; it answers with its own digest and a
+  /// list of gateways when this gateway is new to it or has no list of back ends.
   void exchange_digests(const Address& gateway);
-  /// Whether this gateway reads the store, for its zone.
+  /// Sets whether this gateway reads the store for its zone.
   void set_reads_store(bool reads);
-  /// Tells all gateways of the zone that this one is connected to.
+  /// Sends a digest to all connected gateways of the zone.
   void send_digest_to_zone();
-  /// Whether the platform's store answers this gateway.
+  /// Sets whether the platform's store answers this gateway.
   void set_store_reachable(bool reachable);
-  /// `version` is in force here; other gateways may fetch `document`.
+  /// `version` is in force here now; other gateways may fetch `document`.
   void on_configuration_in_force(std::uint64_t version, const std::string& document) {
     configurations_.on_in_force(version, document);
   }
-  /// For how long another gateway has been known to have `version` or a newer one.
+  /// Time since another gateway first advertised `version` or a newer one; zero if none did.
   Duration time_since_advertised(std::uint64_t version) const {
     return configurations_.time_since_advertised(version);
   }
-  /// Bytes to other gateways that the system has not taken yet.
+  /// Bytes to other gateways that wait in this process for the operating system to take them.
   std::size_t bytes_queued_to_gateways() const;
-  /// Tells the agent beside `engine` how many prompt tokens this gateway's requests wait to be
-  /// read there; the agent tells other gateways.
+  /// Reports to the engine's agent how many prompt tokens of this gateway's requests are pending
+  /// there; the agent reports them to the other gateways.
   void send_backlog(const Address& engine, double unread_tokens);
+  /// Sends a newly named version of a model's weights to the agents of all subscribed engines.
   void announce_weights(const std::string& model, std::uint64_t version);
-  /// Tells some gateways under which requests back ends have ended; each tells others what was new
-  /// to it.
+  /// Sends to some gateways which requests were running when back ends crashed; each forwards what
+  /// was new to it.
   void gossip_crashes(const CrashNews& update);
   void send(PeerId issuer, const PermitRequest& request);
   void send(PeerId gateway, const PermitAnswer& answer);
-  /// The agent beside a back end, if this gateway hears from it.
+  /// The agent of a back end, if this gateway subscribes to its reports.
   std::optional<PeerId> agent_of(const Address& backend) const;
   bool is_agent(PeerId peer) const { return agents_.contains(peer); }
   std::vector<PeerId> known_gateways() const;
@@ -119,17 +123,19 @@
   };
   void tick();
   bool same_zone(PeerId gateway) const;
-  /// "-" where it is not known.
+  /// The gateway's address, or "-" when it is unknown.
   std::string address_text(PeerId gateway) const;
-  /// Those that this one tells regularly.
+  /// Gateways that get each regular digest.
   std::set<PeerId> regular_recipients() const;
-  /// Those that hear of a change at once: the regular ones and some drawn by lot, if connected.
+  /// Gateways that get a change at once: those regular recipients that are connected, and some
+  /// connected ones drawn at random.
   std::set<PeerId> immediate_recipients();
   void on_agent_lost(PeerId peer);
-  /// What was told on a link that was lost may not have arrived.
+  /// Sends all known weight versions again: those sent on a link that was lost may not have
+  /// arrived.
   void resend_weights(PeerId agent);
   void subscribe(PeerId peer);
-  /// Of the list that this gateway reads for its zone; 0 when others do.
+  /// Revision of the list while this gateway reads it from the store; otherwise 0.
   std::uint64_t revision_as_reader() const;
   void send_descriptions();
   void send_digest(PeerId peer);
@@ -139,22 +145,25 @@
   void on_gateway_list(const wire::GatewayList& list);
   void on_list_request(PeerId peer, const wire::BackendListRequest& request);
   void on_digest(PeerId peer, const wire::GatewayDigest& digest);
-  /// @return whether it was not known before.
+  /// Adds a gateway, or updates its zone.
+  /// @return whether it was unknown before.
   bool add_gateway(const std::string& address, const std::string& zone);
-  /// A gateway of the zone that has just started knows no other one.
+  /// Sends the known gateways of the zone and a digest to a gateway of the zone that has just
+  /// started, which knows no other gateways.
   void bootstrap_gateway(PeerId newcomer, std::uint64_t newcomer_list_revision);
 
   Address own_address_;
   std::string zone_;
-  double demand_ = 0;  ///< Requests a second.
+  double demand_ = 0;  ///< First attempts for engines, per second.
   Metrics& metrics_;
   FleetLinksListener& listener_;
   PeerLinks links_;
-  /// The engine beside each agent that this gateway hears from.
+  /// The engine of each agent whose reports this gateway subscribes to.
   std::map<PeerId, EnginePlace> agents_;
-  std::set<PeerId> agents_to_resend_to_;  ///< Their links were lost since they were told.
+  /// Agents whose links were lost since weights were announced to them.
+  std::set<PeerId> agents_to_resend_to_;
   std::map<PeerId, Gateway> gateways_;
-  std::set<PeerId> bootstrapped_;  ///< Gateways of the zone that have been told of the others.
+  std::set<PeerId> bootstrapped_;  ///< Gateways of the zone that got the gateway list.
   std::map<Address, wire::EngineDescriptionT> descriptions_;
   ConfigurationExchange configurations_;
   VerdictPull verdict_pull_;
--- a/src/gateway/peers/fleet_state.cpp
+++ b/src/gateway/peers/fleet_state.cpp
@@ -6,7 +6,7 @@
 namespace pumicemast {
 namespace {
 
-/// Between two tellings of limits to other gateways, beside the regular digests.
+/// Shortest time between two digests that are sent because limits changed.
 constexpr Duration kLimitGossipInterval = milliseconds(100);
 
 BackendPoolOptions pool_options(const GatewaySettings& settings) {
@@ -31,7 +31,7 @@
   return options;
 }
 
-/// Empty when the configuration names no origin of weights.
+/// Empty when no service of the configuration names an origin of weights.
 std::optional<wire::EngineDescriptionT> describe_engine(const RouteTable& routes,
                                                         const ServiceProfile& service) {
   wire::EngineDescriptionT description;
@@ -104,8 +104,8 @@
                 " routes=" + std::to_string(configuration.routes.size()) + " state=IN_FORCE");
   routes_ = std::make_shared<RouteTable>(std::move(configuration));
   callbacks_.on_routes(routes_);
-  // Which back ends are engines, whose agents are to report, stands in the configuration; the list
-  // may have come before it.
+  // The configuration defines which back ends are engines, whose agents report to this gateway. The
+  // list of back ends may have arrived before it.
   update_engines();
   links_.on_configuration_in_force(routes_->version(), document);
   links_.gossip_now();
@@ -193,7 +193,7 @@
   BackendChanges to_agents = *changes;
   std::erase_if(to_agents.entries, [this](const auto& entry) { return !concerns_agents(entry); });
   links_.relay_changes(*changes, to_agents);
-  // Gateways that are cut off from the store hear of who leaves.
+  // Gateways that are cut off from the store learn from digests which back ends leave.
   links_.gossip_now();
 }
 
@@ -225,7 +225,7 @@
   list_known_ = true;
   store_reader_.on_list_known();
   if (!store_reader_.reads()) assume_store_reachable();
-  links_.send_digest_to_zone();  // Others wait for the list.
+  links_.send_digest_to_zone();  // Other gateways may be waiting for the list.
 }
 
 void FleetState::on_list_revision_advertised(PeerId gateway, std::uint64_t revision) {
@@ -237,7 +237,7 @@
 }
 
 bool FleetState::concerns_agents(const BackendChange& change) const {
-  // Of what is gone only the id is known.
+  // For a removed back end only the id is known, not the service.
   if (change.gone || !routes_) return true;
   const ServiceProfile* service = routes_->service(change.record.service);
   return service == nullptr || service->engine.has_value();
@@ -277,7 +277,7 @@
   links_.set_reads_store(reads);
   if (reads) {
     feed_.resume(list_relay_.revision());
-    // Before others begin, too.
+    // So that other gateways do not start to read as well.
     links_.gossip_now();
     return;
   }
@@ -286,7 +286,7 @@
 }
 
 void FleetState::assume_store_reachable() {
-  // Whoever reads for the zone reaches the store, or this gateway would read itself.
+  // The readers of the zone reach the store; otherwise this gateway would be a reader itself.
   on_list_reachable(true);
   on_store_reachable(true);
 }
@@ -325,12 +325,13 @@
     log_limit(change);
     pool_.permits().on_limit_changed(change.backend);
     if (change.source == LimitSource::agent) continue;
-    // An agent tells all gateways; of other back ends the gateways tell each other.
+    // An agent reports the limit to all gateways. Limits of back ends without an agent are gossiped
+    // between the gateways.
     const bool has_agent = permits_.send_limit_to_agent(change.backend);
     gossip_needed = gossip_needed || !has_agent;
   }
   const TimePoint now = loop_now();
-  // The regular digests tell what changes more often.
+  // Changes that follow sooner are sent with the regular digests.
   if (!gossip_needed || now - limits_advertised_at_ < kLimitGossipInterval) return;
   limits_advertised_at_ = now;
   links_.gossip_now();
@@ -361,7 +362,7 @@
 }
 
 void FleetState::on_crash_update(const CrashNews& update) {
-  // To be told on at once: the request may be under way to any gateway.
+  // Forwarded at once, because the same request may arrive at any gateway.
   if (quarantine_.on_told(update, loop_now())) gossip_crashes();
 }
 
--- a/src/gateway/peers/fleet_state.h
+++ b/src/gateway/peers/fleet_state.h
@@ -1,7 +1,7 @@
-/// What a gateway knows of its fleet: the configuration in force, back ends, named weights.
+/// A gateway's view of its fleet: the configuration in force, back ends, named weights.
 ///
-/// Gathers it from the platform's feed, from agents and from other gateways, and passes on what
-/// others may lack. Where they differ the newer version or revision goes first.
+/// Merges the platform's feed, the reports of agents and the digests of other gateways, and relays
+/// what other processes may lack. Where sources differ, the newer version or revision wins.
 #pragma once
 
 #include <functional>
@@ -28,11 +28,11 @@
 class FleetState : public FleetListener, public FleetLinksListener {
  public:
   struct Callbacks {
-    /// Another configuration is in force.
+    /// A new configuration is in force.
     std::function<void(const RouteTablePointer& routes)> on_routes;
-    /// An engine may have room that it had not.
+    /// Waiting requests may be able to start: an engine reported, or a permit request was answered.
     std::function<void()> on_report;
-    /// An engine's process has ended; the agent beside it lives on.
+    /// An engine's process has exited while its agent keeps running.
     std::function<void(const std::string& backend)> on_engine_ended;
   };
 
@@ -42,24 +42,25 @@
   /// @return false when the internal address cannot be bound.
   bool start();
   void set_changeover(Duration changeover, Duration start_bound);
-  /// Tells agents which of this gateway's prompts wait at their engines, where that has changed.
+  /// Reports to agents how many prompt tokens of this gateway are pending at their engines, where
+  /// that has changed.
   void send_backlogs();
-  /// Tells and logs which back ends name other limits than before.
+  /// Logs changed rate limits of back ends, and sends them to the agents or gossips them.
   void propagate_limits();
-  /// Asks for permits, or returns those that no request waits for.
+  /// Requests the permits that are due. When no request waits, returns the unused ones.
   void exchange_permits(bool requests_wait);
   void set_demand(double requests_per_s) { links_.set_demand(requests_per_s); }
-  /// Forgets back ends that are gone, counts the gateways. Call now and then.
+  /// Drops expired state and updates the number of gateways. Call periodically.
   void sweep(TimePoint now);
-  /// Gateways that are thought to share the retries; 0 while nothing is known.
+  /// Estimated number of gateways that share the retries; 0 while nothing is known.
   std::uint64_t gateways_sharing_retries(TimePoint now) { return retry_share_.gateways(now); }
-  /// What this gateway's retry budgets may hold, by the gateways that are known.
+  /// What this gateway's retry budgets may hold, given the known number of gateways.
   RetryAllowance retry_allowance(TimePoint now) { return retry_share_.allowance(now); }
 
   BackendPool& pool() { return pool_; }
   const WeightTargets& targets() const { return targets_; }
   RequestQuarantine& quarantine() { return quarantine_; }
-  /// Tells other gateways what is new of requests under which back ends ended.
+  /// Gossips new evidence of requests that were running when back ends crashed.
   void gossip_crashes();
   /// Null before the first configuration.
   const RouteTablePointer& routes() const { return routes_; }
@@ -94,8 +95,9 @@
   void on_permit_answer(PeerId issuer, const PermitAnswer& answer) override;
 
   void on_store_reader(bool reads);
-  /// The list of back ends is as its reader knows it, here or elsewhere.
+  /// The whole list of back ends is known, from the store or from another gateway.
   void on_list_known();
+  /// Marks the store as reachable while other gateways of the zone read it.
   void assume_store_reachable();
   bool concerns_agents(const BackendChange& change) const;
   void apply_configuration(FleetConfiguration configuration, const std::string& document,
@@ -103,7 +105,8 @@
   void apply_backend(const BackendRecord& record);
   void apply_backend_removal(const std::string& id, std::uint64_t revision);
   void apply_backend_list(const std::vector<BackendRecord>& records, std::uint64_t revision);
-  /// Which engines this gateway hears of and sends to, as the list now is.
+  /// Chooses again, from the current list, the engines that this gateway subscribes to and sends
+  /// requests to.
   void update_engines();
   void apply_named_weights(const std::string& model, std::uint64_t version, TimePoint named_at,
                            bool assumed);
--- a/src/gateway/peers/gateway_digest.cpp
+++ b/src/gateway/peers/gateway_digest.cpp
@@ -8,9 +8,9 @@
 namespace pumicemast {
 namespace {
 
-/// Back ends that one digest tells to be leaving, the newest.
+/// Leaving back ends that one digest lists; the most recent ones are kept.
 constexpr std::size_t kMaximumLeavingBackends = 32;
-/// Limits of back ends that one digest tells.
+/// Back ends whose limits one digest lists.
 constexpr std::size_t kMaximumLimits = 32;
 
 void add_leaving(wire::GatewayDigestT& message, const std::vector<LeftBackend>& leaving) {
--- a/src/gateway/peers/gateway_digest.h
+++ b/src/gateway/peers/gateway_digest.h
@@ -1,4 +1,4 @@
-/// What gateways tell each other regularly, and at once after a change.
+/// The state that gateways gossip in digests: periodically, and at once after a change.
 #pragma once
 
 #include <cstdint>
@@ -11,22 +11,22 @@
 
 namespace pumicemast {
 
-/// The limit that a back end names, or that it names none any more.
+/// The rate limit that a back end states, or that it no longer states one.
 struct AdvertisedLimit {
   BackendLife backend;
   RateLimit limit;
 };
 
-/// What a gateway tells others.
+/// State that a gateway advertises to others.
 struct GossipState {
   std::uint64_t configuration_version = 0;
   std::vector<LeftBackend> leaving;
   std::vector<NamedWeights> weights;
   std::uint64_t crash_verdicts = 0;     ///< Digest of the requests in quarantine.
-  std::vector<AdvertisedLimit> limits;  ///< Of back ends without agents.
+  std::vector<AdvertisedLimit> limits;  ///< Limits of back ends without agents.
 };
 
-/// Fills in what the knowledge tells; who the sender is, the caller adds.
+/// Encodes the state; the caller adds the sender's fields.
 wire::GatewayDigestT encode(const GossipState& state, TimePoint now);
 GossipState decode(const wire::GatewayDigest& digest, TimePoint now);
 
--- a/src/gateway/peers/issuer_ranking.cpp
+++ b/src/gateway/peers/issuer_ranking.cpp
@@ -5,10 +5,10 @@
 namespace pumicemast {
 namespace {
 
-/// An issuer that has answered nothing for so long is passed over: it may have ended, or be cut
-/// off.
+/// An issuer that has left a request unanswered for this time is skipped: its process may have
+/// exited, or it may be cut off.
 constexpr Duration kResponseTimeout = seconds(1);
-/// After that, one that is back is asked again.
+/// A skipped issuer is asked again after this time, as it may be reachable again.
 constexpr Duration kSkipPeriod = seconds(5);
 
 }  // namespace
--- a/src/gateway/peers/issuer_ranking.h
+++ b/src/gateway/peers/issuer_ranking.h
@@ -1,6 +1,6 @@
-/// Which gateway issues the permits for a back end that has no agent.
+/// Chooses the gateway that issues the permits for a back end without an agent.
 ///
-/// A decision core: no I/O. Gateways that know the same others choose the same one.
+/// A decision core: no I/O. Gateways that know the same gateways choose the same issuer.
 #pragma once
 
 #include <map>
@@ -14,10 +14,10 @@
 
 class IssuerRanking {
  public:
-  /// The gateway that ranks first by hash, this one among them, of those that are not silent.
+  /// The first by hash rank of this gateway and the others, without those that are unresponsive.
   PeerId choose(const std::string& backend, PeerId self, const std::vector<PeerId>& gateways,
                 TimePoint now);
-  /// An answer of that gateway is awaited.
+  /// A request that expects an answer was sent to `gateway`.
   void on_asked(PeerId gateway, TimePoint now) { unanswered_since_.try_emplace(gateway, now); }
   void on_answered(PeerId gateway) { unanswered_since_.erase(gateway); }
 
--- a/src/gateway/peers/permit_exchange.cpp
+++ b/src/gateway/peers/permit_exchange.cpp
@@ -3,9 +3,10 @@
 namespace pumicemast {
 namespace {
 
-/// Permits that are held are looked after this often, so that unused ones go back.
+/// Interval at which held permits are checked, so that unused ones are returned.
 constexpr Duration kExchangeInterval = milliseconds(25);
-/// Longer than any limit that still issues one permit.
+/// An issuer without requests for this time is dropped. Longer than the time between two permits
+/// under the lowest limit.
 constexpr Duration kIssuerIdleTimeout = seconds(60);
 
 }  // namespace
--- a/src/gateway/peers/permit_exchange.h
+++ b/src/gateway/peers/permit_exchange.h
@@ -1,7 +1,7 @@
-/// Carries requests for permits between this gateway and those who issue them.
+/// Exchanges permit requests and answers between this gateway and the issuers of permits.
 ///
-/// The agent beside an engine issues its permits. A plain service has no agent: of all gateways the
-/// one that ranks first for it by hash does, and another one while that one is silent.
+/// The agent of an engine issues the engine's permits. For a back end without an agent, the gateway
+/// that ranks first for it by hash issues them, or the next one while that one is unresponsive.
 #pragma once
 
 #include <cstdint>
@@ -20,24 +20,25 @@
 
 class PermitExchange {
  public:
-  /// @param on_permits_changed  a permit may be had, or the answer that none can: requests wait for
-  /// either.
+  /// @param on_permits_changed  called after an answer, whether or not a permit was granted:
+  ///                            requests wait for either.
   PermitExchange(PeerId self, BackendPool& pool, FleetLinks& links,
                  std::function<void()> on_permits_changed);
 
-  /// Sends what is due, from the loop. Call after each event that may have asked for a permit.
+  /// Schedules the messages that are due, to be sent from the loop. Call after each event that may
+  /// have requested a permit.
   void schedule();
-  /// Tells the back end's agent what its limit is, if it has an agent.
-  /// @return whether it has.
+  /// Sends the back end's limit to its agent, if it has one.
+  /// @return whether it has an agent.
   bool send_limit_to_agent(const std::string& backend);
-  /// Another gateway asks for a permit for a back end without an agent.
+  /// Another gateway requests or returns permits for a back end without an agent.
   void on_request(PeerId gateway, const PermitRequest& request);
   void on_answer(PeerId issuer, const PermitAnswer& answer);
-  /// Forgets what was issued for back ends that nobody has asked for lately. Call now and then.
+  /// Drops issuers of back ends without recent requests. Call periodically.
   void sweep(TimePoint now);
 
  private:
-  /// Of one life of a back end.
+  /// Issues permits for one process of a back end.
   struct Issuer {
     PermitIssuer permits;
     TimePoint last_request_at{};
--- a/src/gateway/peers/store_reader_loop.h
+++ b/src/gateway/peers/store_reader_loop.h
@@ -1,4 +1,5 @@
-/// Carries out what StoreReaderPolicy decides: calls at the contact board, and when to look again.
+/// Runs StoreReaderPolicy: makes its calls to the contact registry, and evaluates it periodically
+/// and after each answer.
 #pragma once
 
 #include <functional>
@@ -11,15 +12,16 @@
 class StoreReaderLoop {
  public:
   struct Callbacks {
-    /// This gateway is to read the store, or leaves it to others.
+    /// This gateway starts to read the store (true), or leaves it to other gateways (false).
     std::function<void(bool reads)> on_reads;
-    /// To be asked for what it knows; again and again while the list is not known here.
+    /// The zone's contact is known, to exchange digests with. Called repeatedly until the list of
+    /// back ends is known.
     std::function<void(const Address& gateway)> on_contact;
   };
 
   StoreReaderLoop(const Address& self, PeerId self_id, ContactBoard& registry, Callbacks callbacks);
   void start();
-  /// A gateway of the same zone tells whether it reads the store, and reaches it.
+  /// A gateway of the same zone advertises whether it is a store reader and reaches the store.
   void on_reader_status(PeerId gateway, bool reads);
   void on_list_known();
   bool reads() const { return reads_; }
--- a/src/gateway/peers/store_reader_policy.cpp
+++ b/src/gateway/peers/store_reader_policy.cpp
@@ -20,7 +20,7 @@
     return false;
   }
   if (!too_few_readers_since_) too_few_readers_since_ = now;
-  // Others may begin meanwhile: of all of a zone only a few are needed.
+  // Other gateways may begin during the jitter: a zone needs only a few readers.
   return now - *too_few_readers_since_ >= takeover_jitter_;
 }
 
--- a/src/gateway/peers/store_reader_policy.h
+++ b/src/gateway/peers/store_reader_policy.h
@@ -1,8 +1,8 @@
-/// Decides whether this gateway reads the platform's store: at the start, and from then on.
+/// Decides whether this gateway reads the platform's store, at start-up and in steady state.
 ///
-/// A decision core: no I/O. Until the list of back ends is known here, only the zone's contact
-/// reads; then a gateway begins when fewer of its zone read than should, and ends when enough that
-/// go before it do.
+/// A decision core: no I/O. Until the list of back ends is known, only the zone's contact reads.
+/// After that a gateway begins to read when its zone has too few readers, and stops when enough
+/// gateways that precede it in the fixed order of StoreReaderRole read.
 #pragma once
 
 #include <optional>
@@ -17,12 +17,12 @@
  public:
   StoreReaderPolicy(const Address& self, PeerId self_id, StoreReaderOptions options = {});
 
-  /// A gateway of the same zone tells whether it reads the store, and reaches it.
+  /// A gateway of the same zone advertises whether it is a store reader and reaches the store.
   void on_reader_status(PeerId gateway, bool reads, TimePoint now);
-  /// The list of back ends is known here.
+  /// The whole list of back ends is known here.
   void on_list_known() { list_known_ = true; }
   bool list_known() const { return list_known_; }
-  /// Whether this gateway reads from now on.
+  /// Whether this gateway is to read the store from now on.
   bool decide(TimePoint now);
   ContactSearch& search() { return search_; }
 
@@ -35,8 +35,8 @@
   ContactSearch search_;
   bool list_known_ = false;
   bool reads_ = false;
-  std::optional<TimePoint>
-      too_few_readers_since_;  ///< Fewer gateways of the zone read than should.
+  /// Since when the zone has had fewer readers than it should.
+  std::optional<TimePoint> too_few_readers_since_;
 };
 
 }  // namespace pumicemast
--- a/tests/gateway/peers/backend_list_relay_test.cpp
+++ b/tests/gateway/peers/backend_list_relay_test.cpp
@@ -22,7 +22,7 @@
   return result;
 }
 
-/// What the message says once it has gone over the wire.
+/// The changes as a receiver decodes them.
 BackendChanges encode_and_decode(const BackendChanges& changes) {
   flatbuffers::FlatBufferBuilder builder;
   const wire::BackendChangesT message = encode(changes);
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-/// Two gateways of a zone read the list of back ends; the others and the agents follow them.
+/// Two gateways of a zone read the list of back ends; the other gateways and the agents follow.
 class BackendListRelayTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(BackendListRelayTest);
   CPPUNIT_TEST(nothing_is_relayed_without_changes);
@@ -54,7 +54,7 @@
     reader.on_listed(10);
     CPPUNIT_ASSERT(!reader.on_current(10));
     CPPUNIT_ASSERT(!reader.on_current(25));
-    // Others would ask for a list that has not changed.
+    // A higher revision would make other gateways request an unchanged list.
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, reader.revision());
   }
 
@@ -97,7 +97,7 @@
     CPPUNIT_ASSERT(follower.should_ask(11, now_ + milliseconds(400)));
   }
 
-  /// Their calls to the store end at other revisions, with the same changes.
+  /// The calls of two readers to the store may end at different revisions with the same changes.
   void two_readers_at_different_revisions_agree() {
     BackendListFollower follower;
     follower.on_read(10);
@@ -120,7 +120,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("b"), received.entries[0].record.id);
   }
 
-  /// Whatever is lost on the way, the agent has the reader's list soon after the last change.
+  /// Whichever messages are lost, the agent has the reader's list soon after the last change.
   void an_agent_follows_gateways_despite_lost_messages() {
     for (std::uint32_t seed = 1; seed <= 50; ++seed) {
       std::minstd_rand random(seed);
--- a/tests/gateway/peers/contact_search_test.cpp
+++ b/tests/gateway/peers/contact_search_test.cpp
@@ -4,7 +4,7 @@
 
 namespace pumicemast {
 
-/// A gateway that starts finds another one of its zone, or is the one that others find.
+/// A gateway that starts finds a contact in its zone, or becomes the contact.
 class ContactSearchTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ContactSearchTest);
   CPPUNIT_TEST(the_first_gateway_of_a_zone_claims_and_reads);
@@ -72,7 +72,7 @@
     now += milliseconds(301);
     const auto claim = next<ClaimContact>(search);
     CPPUNIT_ASSERT(claim && claim->replaces == 7U);
-    // Another one was faster: it is given its time.
+    // Another gateway replaced the contact first: the timeout starts again for it.
     search.on_answer(names({"10.0.0.3", 7700}, 9), now);
     CPPUNIT_ASSERT(!search.should_read(now));
     CPPUNIT_ASSERT(!search.next_action(now + milliseconds(900)));
@@ -106,7 +106,7 @@
       now += milliseconds(250);
     }
     CPPUNIT_ASSERT(search.should_read(now));
-    // It is there again, and names somebody.
+    // The registry answers again and names another gateway.
     CPPUNIT_ASSERT(next<ReadContact>(search));
     search.on_answer(names(other, 3), now);
     CPPUNIT_ASSERT(!search.should_read(now));
--- a/tests/gateway/peers/fleet_links_agents_test.cpp
+++ b/tests/gateway/peers/fleet_links_agents_test.cpp
@@ -12,7 +12,7 @@
 using tests::run_until;
 using tests::ScriptedServer;
 
-/// Knows that version 2 of model "m" was named.
+/// A listener whose own state contains version 2 of model "m" as named.
 class NamedWeightsListener : public FleetLinksListener {
  public:
   void on_engine_report(const Address&, const LoadReport&) override {}
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-/// Real sockets; every wait is for a condition.
+/// Uses real sockets; every wait is for a condition.
 class FleetLinksAgentsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FleetLinksAgentsTest);
   CPPUNIT_TEST(weights_named_while_a_link_was_lost_are_resent);
@@ -48,8 +48,9 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Engines changed over seconds late: the word of the naming went to their agents over links that
-  // had gone silent, once, and the agents' own readings of the store are seconds old.
+  // Guards against engines that change over seconds late: a new weight version was sent to their
+  // agents only once, over links that had gone silent, and the agents' own reads of the store are
+  // seconds old.
   void weights_named_while_a_link_was_lost_are_resent() {
     const std::uint16_t port = free_port();
     const Address agent_address{"127.0.0.12", port};
@@ -64,17 +65,18 @@
     agent.reset();
     run_until([&] { return listener.agents_lost > 0; });
     links.announce_weights("m", 2);
-    run_until([&] { return listener.agents_lost > 1; });  // Nobody was there to hear it.
+    run_until([&] { return listener.agents_lost > 1; });  // The agent is not listening.
 
     agent = listening_agent(agent_address);
     run_until([&] { return received_versions_.contains(2); });
     const std::size_t received = received_count_;
     const int subscriptions = subscriptions_;
     run_until([&] { return subscriptions_ > subscriptions + 2; });
-    CPPUNIT_ASSERT_EQUAL(received, received_count_);  // Not again on a link that stands.
+    CPPUNIT_ASSERT_EQUAL(received, received_count_);  // Not sent again on an intact link.
   }
 
-  // Its former process was told; the contact that it asks may read no list itself.
+  // Only the gateway's previous process received the list. The contact that it asks may not be a
+  // store reader.
   void a_restarted_gateway_receives_the_gateway_list_again() {
     const std::uint16_t port = free_port();
     const Address own{"127.0.0.1", port};
@@ -91,7 +93,7 @@
       send_digest(*newcomer, {"127.0.0.13", port}, own, 0);
       run_until([&] { return gateway_lists_ >= start; });
     }
-    // One that knows the list is told once.
+    // A gateway that has the back-end list gets no gateway list again.
     const int received = gateway_lists_;
     send_digest(*newcomer, {"127.0.0.13", port}, own, 7);
     const int digests = digests_;
--- a/tests/gateway/peers/fleet_start_test.cpp
+++ b/tests/gateway/peers/fleet_start_test.cpp
@@ -1,11 +1,11 @@
-// What users saw: with 300 machines gateways answered 404 for routes that had been acknowledged up
-// to 16 s before, and after all processes were killed one zone was served again only after 30 s.
-// Order of events: all gateways and agents start at once, know nobody and read the list of back
-// ends from the store. The copies of a zone fill its link to the store's region; gateways hear of
-// each other from agents that the list names, so that none ceases to read before it has the list.
-// The configuration waits behind the lists.
-// Cause: who reads the store was decided among gateways that know each other, which they did only
-// after each had read the whole list.
+// Guards against a start of the whole fleet that fills the links to the store. With 300 machines,
+// gateways answered 404 for routes that had been acknowledged up to 16 s before, and after all
+// processes were killed one zone was served again only after 30 s.
+// All gateways and agents start at once without knowing each other, and read the list of back ends
+// from the store. The copies for a zone fill its link to the store's region, and the configuration
+// waits behind them. The store readers were chosen among gateways that know each other, but
+// gateways learned of each other only from agents that the list names, so none stopped reading
+// before it had received the whole list.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <cstdio>
--- a/tests/gateway/peers/issuer_ranking_test.cpp
+++ b/tests/gateway/peers/issuer_ranking_test.cpp
@@ -50,7 +50,7 @@
     CPPUNIT_ASSERT(second != first);
     ranking.on_answered(first);
     CPPUNIT_ASSERT_EQUAL(first, ranking.choose("p1", 0, others(0), start + milliseconds(1100)));
-    // One that never answers is tried again now and then.
+    // An issuer that never answers is tried again from time to time.
     ranking.on_asked(first, start + seconds(2));
     CPPUNIT_ASSERT(ranking.choose("p1", 0, others(0), start + seconds(4)) != first);
     CPPUNIT_ASSERT_EQUAL(first, ranking.choose("p1", 0, others(0), start + seconds(9)));
--- a/tests/gateway/peers/store_reader_role_test.cpp
+++ b/tests/gateway/peers/store_reader_role_test.cpp
@@ -21,7 +21,7 @@
   std::set<PeerId> dead;
   std::set<PeerId> without_store;
 
-  /// Every living reader tells the others, as gateways do twice a second.
+  /// Every live gateway advertises its status to the others, as gateways do twice a second.
   void exchange_statuses() {
     std::vector<bool> reads;
     for (const StoreReaderRole& role : roles) reads.push_back(role.should_read(now));
@@ -71,7 +71,7 @@
     advance(seconds(3));
     dead = readers();
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, dead.size());
-    // Configurations are in force within two seconds, also now.
+    // Configurations must be in force within two seconds even when both readers fail.
     now += milliseconds(1500);
     CPPUNIT_ASSERT(!readers().empty());
     advance(seconds(2));
