--- a/src/gateway/peers/backend_list_relay.cpp
+++ b/src/gateway/peers/backend_list_relay.cpp
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-void BackendListRelay::on_listed(std::uint64_t revision) {
+void BackendListRelay::on_list_read(std::uint64_t revision) {
   changes_.clear();
   follower_.on_read(revision);
 }
--- a/src/gateway/peers/backend_list_relay.h
+++ b/src/gateway/peers/backend_list_relay.h
@@ -15,7 +15,7 @@
 class BackendListRelay {
  public:
   // Read from the store by this gateway.
-  void on_listed(std::uint64_t revision);
+  void on_list_read(std::uint64_t revision);
   void on_record(const BackendRecord& record) { changes_.push_back({record, false}); }
   void on_removed(const std::string& id, std::uint64_t revision);
   /// All changes up to `revision` have been read.
--- a/src/gateway/peers/fleet_links.cpp
+++ b/src/gateway/peers/fleet_links.cpp
@@ -290,9 +290,9 @@
   for (const auto& [peer, agent] : agents_) links_.send(peer, message);
 }
 
-void FleetLinks::send_backlog(const Address& engine, double unread_tokens) {
+void FleetLinks::send_backlog(const Address& engine, double pending_tokens) {
   wire::PromptBacklogT message;
-  message.unread_tokens = static_cast<std::uint32_t>(unread_tokens);
+  message.unread_tokens = static_cast<std::uint32_t>(pending_tokens);
   links_.send(peer_id({engine.host, own_address_.port}), message);
 }
 
@@ -381,7 +381,7 @@
   if (message.echo() == 0) return;
   const Duration since_ping =
       loop_now() - TimePoint(Duration(static_cast<Duration::rep>(message.echo())));
-  listener_.on_path_delay(*engine, since_ping - Duration(message.echo_held_us()));
+  listener_.on_round_trip_time(*engine, since_ping - Duration(message.echo_held_us()));
 }
 
 void FleetLinks::on_gateway_list(const wire::GatewayList& list) {
--- a/src/gateway/peers/fleet_links.h
+++ b/src/gateway/peers/fleet_links.h
@@ -36,9 +36,9 @@
  public:
   virtual ~FleetLinksListener() = default;
   virtual void on_engine_report(const Address& engine, const LoadReport& report) = 0;
-  virtual void on_others_backlog(const Address& engine, std::uint32_t unread_tokens) = 0;
+  virtual void on_others_backlog(const Address& engine, std::uint32_t pending_tokens) = 0;
   /// The round-trip time of a message to the engine's agent.
-  virtual void on_path_delay(const Address& engine, Duration delay) = 0;
+  virtual void on_round_trip_time(const Address& engine, Duration round_trip_time) = 0;
   virtual void on_engine_agent_lost(const Address& engine) = 0;
   virtual void on_gossip_state(const GossipState& state) = 0;
   virtual void on_fetched_configuration(const FetchedConfiguration& fetched) = 0;
@@ -103,7 +103,7 @@
   std::size_t bytes_queued_to_gateways() const;
   /// Reports to the engine's agent how many prompt tokens of this gateway's requests are pending
   /// there; the agent reports them to the other gateways.
-  void send_backlog(const Address& engine, double unread_tokens);
+  void send_backlog(const Address& engine, double pending_tokens);
   /// Sends a newly named version of a model's weights to the agents of all subscribed engines.
   void announce_weights(const std::string& model, std::uint64_t version);
   /// Sends to some gateways which requests were running when back ends crashed; each forwards what
--- a/src/gateway/peers/fleet_state.cpp
+++ b/src/gateway/peers/fleet_state.cpp
@@ -66,7 +66,7 @@
       permits_(self_, pool_, links_, [this] { callbacks_.on_report(); }),
       backend_list_holders_(self_),
       store_reader_(settings.internal_address, self_, feed.contacts(),
-                    {[this](bool reads) { on_store_reader(reads); },
+                    {[this](bool reads) { on_reader_change(reads); },
                      [this](const Address& gateway) { links_.exchange_digests(gateway); }}),
       retry_share_(retry_share_options(settings), loop_now()) {
   targets_.set_start_bound(settings.start_bound);
@@ -138,9 +138,9 @@
     if (description) descriptions[record.address] = *description;
   }
   const std::vector<EnginePlace> chosen = choose_engines(self_, zone_, engines);
-  std::set<Address> watched;
-  for (const EnginePlace& engine : chosen) watched.insert(engine.address);
-  pool_.set_watched(std::move(watched));
+  std::set<Address> subscribed;
+  for (const EnginePlace& engine : chosen) subscribed.insert(engine.address);
+  pool_.set_watched(std::move(subscribed));
   links_.set_engines(chosen);
   links_.set_descriptions(descriptions);
 }
@@ -171,7 +171,7 @@
 void FleetState::on_backend_list(const std::vector<BackendRecord>& records,
                                  std::uint64_t revision) {
   apply_backend_list(records, revision);
-  list_relay_.on_listed(revision);
+  list_relay_.on_list_read(revision);
 }
 
 void FleetState::on_backend(const BackendRecord& record) {
@@ -272,7 +272,7 @@
   store_reader_.on_reader_status(gateway, reads);
 }
 
-void FleetState::on_store_reader(bool reads) {
+void FleetState::on_reader_change(bool reads) {
   log_.line("reader", std::string("store reader=") + (reads ? "yes" : "no"));
   links_.set_reads_store(reads);
   if (reads) {
@@ -296,8 +296,8 @@
   pool_.on_list_reachable(reachable, loop_now());
 }
 
-void FleetState::on_path_delay(const Address& engine, Duration delay) {
-  pool_.on_path_delay(engine, delay, loop_now());
+void FleetState::on_round_trip_time(const Address& engine, Duration round_trip_time) {
+  pool_.on_path_delay(engine, round_trip_time, loop_now());
 }
 
 void FleetState::send_backlogs() {
@@ -384,8 +384,8 @@
   callbacks_.on_report();
 }
 
-void FleetState::on_others_backlog(const Address& engine, std::uint32_t unread_tokens) {
-  pool_.on_others_backlog(engine, unread_tokens);
+void FleetState::on_others_backlog(const Address& engine, std::uint32_t pending_tokens) {
+  pool_.on_others_backlog(engine, pending_tokens);
 }
 
 void FleetState::on_engine_agent_lost(const Address& engine) { pool_.on_agent_lost(engine); }
--- a/src/gateway/peers/fleet_state.h
+++ b/src/gateway/peers/fleet_state.h
@@ -79,8 +79,8 @@
   void on_store_reachable(bool reachable) override;
   // FleetLinksListener
   void on_engine_report(const Address& engine, const LoadReport& report) override;
-  void on_path_delay(const Address& engine, Duration delay) override;
-  void on_others_backlog(const Address& engine, std::uint32_t unread_tokens) override;
+  void on_round_trip_time(const Address& engine, Duration round_trip_time) override;
+  void on_others_backlog(const Address& engine, std::uint32_t pending_tokens) override;
   void on_engine_agent_lost(const Address& engine) override;
   void on_gossip_state(const GossipState& state) override;
   void on_fetched_configuration(const FetchedConfiguration& fetched) override;
@@ -94,7 +94,7 @@
   void on_permit_request(PeerId gateway, const PermitRequest& request) override;
   void on_permit_answer(PeerId issuer, const PermitAnswer& answer) override;
 
-  void on_store_reader(bool reads);
+  void on_reader_change(bool reads);
   /// The whole list of back ends is known, from the store or from another gateway.
   void on_list_known();
   /// Marks the store as reachable while other gateways of the zone read it.
--- a/src/gateway/peers/store_reader_loop.cpp
+++ b/src/gateway/peers/store_reader_loop.cpp
@@ -27,7 +27,7 @@
   const bool reads = policy_.decide(loop_now());
   if (reads == reads_) return;
   reads_ = reads;
-  callbacks_.on_reads(reads);
+  callbacks_.on_reader_change(reads);
 }
 
 void StoreReaderLoop::search() {
--- a/src/gateway/peers/store_reader_loop.h
+++ b/src/gateway/peers/store_reader_loop.h
@@ -13,7 +13,7 @@
  public:
   struct Callbacks {
     /// This gateway starts to read the store (true), or leaves it to other gateways (false).
-    std::function<void(bool reads)> on_reads;
+    std::function<void(bool reads)> on_reader_change;
     /// The zone's contact is known, to exchange digests with. Called repeatedly until the list of
     /// back ends is known.
     std::function<void(const Address& gateway)> on_contact;
--- a/tests/gateway/configuration/configuration_download_test.cpp
+++ b/tests/gateway/configuration/configuration_download_test.cpp
@@ -19,7 +19,7 @@
   CPPUNIT_TEST(a_download_past_half_is_finished);
   CPPUNIT_TEST(a_version_that_the_holder_no_longer_has_is_replaced);
   CPPUNIT_TEST(holders_with_different_documents_do_not_block_the_download);
-  CPPUNIT_TEST(an_empty_or_foreign_piece_changes_nothing);
+  CPPUNIT_TEST(an_empty_or_unexpected_piece_changes_nothing);
   CPPUNIT_TEST(three_versions_are_kept);
   CPPUNIT_TEST_SUITE_END();
 
@@ -145,7 +145,7 @@
     CPPUNIT_ASSERT(download.take_document() == document('y') + " ");
   }
 
-  void an_empty_or_foreign_piece_changes_nothing() {
+  void an_empty_or_unexpected_piece_changes_nothing() {
     ConfigurationDownload download(1);
     const RecentConfigurations recent = recent_of(5, 'x');
     CPPUNIT_ASSERT(download.on_piece(*recent.piece(5, 0)).empty());  // No piece was requested.
--- a/tests/gateway/peers/backend_list_relay_test.cpp
+++ b/tests/gateway/peers/backend_list_relay_test.cpp
@@ -51,7 +51,7 @@
  public:
   void nothing_is_relayed_without_changes() {
     BackendListRelay reader;
-    reader.on_listed(10);
+    reader.on_list_read(10);
     CPPUNIT_ASSERT(!reader.on_current(10));
     CPPUNIT_ASSERT(!reader.on_current(25));
     // A higher revision would make other gateways request an unchanged list.
@@ -60,7 +60,7 @@
 
   void changes_are_relayed_together() {
     BackendListRelay reader;
-    reader.on_listed(10);
+    reader.on_list_read(10);
     reader.on_record(record("a", 11));
     reader.on_removed("b", 12);
     const auto changes = reader.on_current(12);
@@ -90,7 +90,7 @@
 
   void requests_for_the_whole_list_are_spaced() {
     BackendListRelay follower;
-    follower.on_listed(10);
+    follower.on_list_read(10);
     CPPUNIT_ASSERT(!follower.should_ask(10, now_));
     CPPUNIT_ASSERT(follower.should_ask(11, now_));
     CPPUNIT_ASSERT(!follower.should_ask(11, now_ + milliseconds(100)));
@@ -128,7 +128,7 @@
       EngineList agent;
       std::map<std::string, std::uint64_t> listed;
       std::uint64_t revision = 1;
-      reader.on_listed(revision);
+      reader.on_list_read(revision);
       for (int round = 0; round < 60; ++round) {
         const std::string id = "e" + std::to_string(random() % 8);
         ++revision;
--- a/tests/gateway/peers/contact_search_test.cpp
+++ b/tests/gateway/peers/contact_search_test.cpp
@@ -22,7 +22,7 @@
   const Address other{"10.0.0.2", 7700};
 
   static ContactBoardAnswer empty() { return {ContactBoardState::empty, {}}; }
-  static ContactBoardAnswer names(const Address& gateway, std::uint64_t revision) {
+  static ContactBoardAnswer entry_of(const Address& gateway, std::uint64_t revision) {
     return {ContactBoardState::named, {gateway, revision}};
   }
   template <class Action>
@@ -44,14 +44,14 @@
     CPPUNIT_ASSERT(!search.should_read(now));
     const auto claim = next<ClaimContact>(search);
     CPPUNIT_ASSERT(claim && !claim->replaces);
-    search.on_answer(names(self, 7), now);
+    search.on_answer(entry_of(self, 7), now);
     CPPUNIT_ASSERT(search.should_read(now));
     CPPUNIT_ASSERT(!search.contact());
     CPPUNIT_ASSERT(!search.next_action(now + seconds(60)));
   }
 
   void other_gateways_ask_the_contact_and_do_not_read() {
-    ContactSearch search = after_reading(names(other, 7));
+    ContactSearch search = after_reading(entry_of(other, 7));
     CPPUNIT_ASSERT(search.contact() && search.contact()->gateway == other);
     CPPUNIT_ASSERT(!search.should_read(now));
     CPPUNIT_ASSERT(!search.next_action(now));
@@ -60,26 +60,26 @@
   void a_gateway_that_loses_the_claim_asks_the_winner() {
     ContactSearch search = after_reading(empty());
     CPPUNIT_ASSERT(next<ClaimContact>(search));
-    search.on_answer(names(other, 8), now);
+    search.on_answer(entry_of(other, 8), now);
     CPPUNIT_ASSERT(search.contact() && search.contact()->gateway == other);
     CPPUNIT_ASSERT(!search.should_read(now));
   }
 
   void a_silent_contact_is_replaced_once() {
-    ContactSearch search = after_reading(names(other, 7));
+    ContactSearch search = after_reading(entry_of(other, 7));
     now += milliseconds(999);
     CPPUNIT_ASSERT(!search.next_action(now));
     now += milliseconds(301);
     const auto claim = next<ClaimContact>(search);
     CPPUNIT_ASSERT(claim && claim->replaces == 7U);
     // Another gateway replaced the contact first: the timeout starts again for it.
-    search.on_answer(names({"10.0.0.3", 7700}, 9), now);
+    search.on_answer(entry_of({"10.0.0.3", 7700}, 9), now);
     CPPUNIT_ASSERT(!search.should_read(now));
     CPPUNIT_ASSERT(!search.next_action(now + milliseconds(900)));
   }
 
   void a_contact_is_kept_while_readers_are_seen() {
-    ContactSearch search = after_reading(names(other, 7));
+    ContactSearch search = after_reading(entry_of(other, 7));
     for (int second = 0; second < 10; ++second) {
       now += milliseconds(900);
       search.on_reader_seen(now);
@@ -94,7 +94,7 @@
     CPPUNIT_ASSERT(!search.next_action(now));
     now += milliseconds(250);
     CPPUNIT_ASSERT(next<ReadContact>(search));
-    search.on_answer(names(self, 7), now);
+    search.on_answer(entry_of(self, 7), now);
     CPPUNIT_ASSERT(search.should_read(now));
   }
 
@@ -108,12 +108,12 @@
     CPPUNIT_ASSERT(search.should_read(now));
     // The registry answers again and names another gateway.
     CPPUNIT_ASSERT(next<ReadContact>(search));
-    search.on_answer(names(other, 3), now);
+    search.on_answer(entry_of(other, 3), now);
     CPPUNIT_ASSERT(!search.should_read(now));
   }
 
   void a_restarted_contact_reads() {
-    const ContactSearch search = after_reading(names(self, 7));
+    const ContactSearch search = after_reading(entry_of(self, 7));
     CPPUNIT_ASSERT(search.should_read(now));
   }
 };
--- a/tests/gateway/peers/fleet_links_agents_test.cpp
+++ b/tests/gateway/peers/fleet_links_agents_test.cpp
@@ -17,7 +17,7 @@
  public:
   void on_engine_report(const Address&, const LoadReport&) override {}
   void on_others_backlog(const Address&, std::uint32_t) override {}
-  void on_path_delay(const Address&, Duration) override {}
+  void on_round_trip_time(const Address&, Duration) override {}
   void on_engine_agent_lost(const Address&) override { ++agents_lost; }
   void on_gossip_state(const GossipState&) override {}
   void on_fetched_configuration(const FetchedConfiguration&) override {}
--- a/tests/gateway/peers/fleet_start_test.cpp
+++ b/tests/gateway/peers/fleet_start_test.cpp
@@ -26,7 +26,7 @@
   CPPUNIT_TEST(a_configuration_is_in_force_within_a_second_while_all_start);
   CPPUNIT_TEST(a_configuration_is_in_force_within_a_second_while_the_store_is_slow);
   CPPUNIT_TEST(few_gateways_of_a_zone_read_the_list_from_the_store);
-  CPPUNIT_TEST(a_contact_that_hangs_as_all_start_is_replaced);
+  CPPUNIT_TEST(a_contact_that_hangs_during_the_start_is_replaced);
   CPPUNIT_TEST(a_fleet_of_the_expected_size_starts);
   CPPUNIT_TEST(links_are_full_when_every_process_reads_the_store);
   CPPUNIT_TEST_SUITE_END();
@@ -42,9 +42,9 @@
            " lists=" + std::to_string(outcome.lists_read) +
            " most_readers=" + std::to_string(outcome.most_readers);
   }
-  static FleetStartOutcome play(const FleetStartSetup& setup, const char* what) {
+  static FleetStartOutcome run_scenario(const FleetStartSetup& setup, const char* label) {
     const FleetStartOutcome outcome = start_fleet(setup);
-    std::printf("\nfigure start %s seed=%u %s\n", what, setup.seed, describe(outcome).c_str());
+    std::printf("\nfigure start %s seed=%u %s\n", label, setup.seed, describe(outcome).c_str());
     return outcome;
   }
   static void check(bool holds, const FleetStartOutcome& outcome) {
@@ -56,7 +56,7 @@
     for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) {
       FleetStartSetup setup;
       setup.seed = seed;
-      const FleetStartOutcome outcome = play(setup, "300");
+      const FleetStartOutcome outcome = run_scenario(setup, "300");
       check(outcome.list_at_last <= kListLimit, outcome);
       check(outcome.change_in_force <= kInForceLimit, outcome);
     }
@@ -66,7 +66,7 @@
     for (const Duration after : {milliseconds(500), milliseconds(1000), milliseconds(2000)}) {
       FleetStartSetup setup;
       setup.change_after = after;
-      const FleetStartOutcome outcome = play(setup, "300-while");
+      const FleetStartOutcome outcome = run_scenario(setup, "300-while");
       check(outcome.change_in_force <= kInForceLimit, outcome);
     }
   }
@@ -76,7 +76,7 @@
       FleetStartSetup setup;
       setup.seed = seed;
       setup.store_delay = milliseconds(240);
-      const FleetStartOutcome outcome = play(setup, "store-slow");
+      const FleetStartOutcome outcome = run_scenario(setup, "store-slow");
       check(outcome.change_in_force <= kInForceLimit, outcome);
       check(outcome.lists_read <= 2 * setup.zones, outcome);
     }
@@ -86,17 +86,17 @@
     for (const std::size_t gateways : {2U, 11U, 33U, 100U}) {
       FleetStartSetup setup;
       setup.gateways_per_zone = gateways;
-      const FleetStartOutcome outcome = play(setup, "readers");
+      const FleetStartOutcome outcome = run_scenario(setup, "readers");
       check(outcome.lists_read <= 2 * setup.zones, outcome);
       check(outcome.most_readers <= 3, outcome);
     }
   }
 
-  void a_contact_that_hangs_as_all_start_is_replaced() {
+  void a_contact_that_hangs_during_the_start_is_replaced() {
     for (const Duration after : {milliseconds(20), milliseconds(200), milliseconds(700)}) {
       FleetStartSetup setup;
       setup.contact_hangs_after = after;
-      const FleetStartOutcome outcome = play(setup, "contact-hangs");
+      const FleetStartOutcome outcome = run_scenario(setup, "contact-hangs");
       check(outcome.list_at_last <= kListLimit, outcome);
       check(outcome.change_in_force <= kInForceLimit, outcome);
     }
@@ -109,7 +109,7 @@
     setup.gateways_per_zone = 15;
     setup.agents_per_zone = 0;
     setup.backends = 6800;
-    const FleetStartOutcome outcome = play(setup, "350+6800");
+    const FleetStartOutcome outcome = run_scenario(setup, "350+6800");
     check(outcome.list_at_last <= seconds(8), outcome);
     check(outcome.change_in_force <= kInForceLimit, outcome);
   }
@@ -117,7 +117,7 @@
   void links_are_full_when_every_process_reads_the_store() {
     FleetStartSetup setup;
     setup.reading = StartReading::each_alone;
-    const FleetStartOutcome outcome = play(setup, "each-alone");
+    const FleetStartOutcome outcome = run_scenario(setup, "each-alone");
     check(outcome.list_at_last > kListLimit, outcome);
     check(outcome.change_in_force > kInForceLimit, outcome);
   }
