--- a/src/gateway/peers/backend_list_relay.cpp
+++ b/src/gateway/peers/backend_list_relay.cpp
@@ -3,18 +3,19 @@
 namespace pumicemast {
 namespace {
 
-/// The whole list, 20 KB for 120 back ends, is within a zone in some milliseconds; an answer that
-/// does not come is asked for again from whoever tells next of a newer list.
-constexpr Duration kAskInterval = milliseconds(300);
+/// Shortest time between two requests for the whole list. The list, 20 KB for 120 back ends,
+/// crosses a zone within milliseconds. If no answer arrives, the next gateway that advertises a
+/// newer list leads to another request.
+constexpr Duration kRequestInterval = milliseconds(300);
 
 }  // namespace
 
-void BackendListRelay::on_listed(std::uint64_t revision) {
+void BackendListRelay::on_list_read(std::uint64_t revision) {
   changes_.clear();
   follower_.on_read(revision);
 }
 
-void BackendListRelay::on_gone(const std::string& id, std::uint64_t revision) {
+void BackendListRelay::on_removed(const std::string& id, std::uint64_t revision) {
   BackendChange change;
   change.record.id = id;
   change.record.revision = revision;
@@ -24,15 +25,15 @@
 
 std::optional<BackendChanges> BackendListRelay::on_current(std::uint64_t revision) {
   if (changes_.empty()) return std::nullopt;
-  BackendChanges told{follower_.revision(), revision, false, std::move(changes_)};
+  BackendChanges changes{follower_.revision(), revision, false, std::move(changes_)};
   changes_.clear();
   follower_.on_read(revision);
-  return told;
+  return changes;
 }
 
 bool BackendListRelay::should_ask(std::uint64_t revision, TimePoint now) {
-  if (!follower_.lacks(revision) || now < next_ask_) return false;
-  next_ask_ = now + kAskInterval;
+  if (!follower_.lacks(revision) || now < next_request_at_) return false;
+  next_request_at_ = now + kRequestInterval;
   return true;
 }
 
--- a/tests/gateway/configuration/configuration_spread_test.cpp
+++ b/tests/gateway/configuration/configuration_spread_test.cpp
@@ -1,11 +1,11 @@
-// What users saw: after two configurations of several hundred KB, 2 s apart, two gateways still
-// answered 404 by the older one more than 3 s after the second was acknowledged, and one ended
-// over its memory limit of 160 MB.
-// Order of events: two gateways of a zone read the document from the store, the others ask them.
-// Sending it to all takes longer than the limit for an answer, so each asks another holder, also
-// in other regions, then the same ones again.
-// Cause: a fixed time for a whole document, and holders that queue a copy for each request: what
-// is sent in vain makes the next answer later.
+// Guards against gateways that keep an old configuration, and against running out of memory, while
+// large documents are distributed. After two configurations of several hundred KB, 2 s apart, two
+// gateways still answered 404 by the older one more than 3 s after the second was acknowledged, and
+// one gateway exceeded its memory limit of 160 MB.
+// Two gateways of a zone read the document from the store and the others ask them. Sending it to
+// all took longer than the fixed timeout for a whole document, so each gateway asked further
+// holders, also in other regions, and then the same ones again. Holders queued a copy for each
+// request, and the useless copies delayed the next ones.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <string>
@@ -18,9 +18,9 @@
   CPPUNIT_TEST_SUITE(ConfigurationSpreadTest);
   CPPUNIT_TEST(all_gateways_have_the_newest_within_three_seconds);
   CPPUNIT_TEST(a_document_is_not_sent_more_often_than_needed);
-  CPPUNIT_TEST(a_holder_keeps_little_for_others);
-  CPPUNIT_TEST(a_holder_that_hangs_is_passed_over);
-  CPPUNIT_TEST(a_full_link_between_regions_is_not_filled_further);
+  CPPUNIT_TEST(a_holder_queues_little_for_others);
+  CPPUNIT_TEST(a_holder_that_hangs_is_skipped);
+  CPPUNIT_TEST(a_full_link_between_regions_is_not_loaded_further);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr std::uint32_t kSeeds = 5;
@@ -52,7 +52,7 @@
   }
 
   void a_document_is_not_sent_more_often_than_needed() {
-    // 39 gateways lack two versions; those that read the store get them there.
+    // 39 gateways lack two versions; the store readers among them fetch them from the store.
     for (const std::size_t bytes : {700'000U, 1'500'000U}) {
       for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) {
         const SpreadOutcome outcome = spread(bytes, seed);
@@ -61,7 +61,7 @@
     }
   }
 
-  void a_holder_keeps_little_for_others() {
+  void a_holder_queues_little_for_others() {
     constexpr std::size_t kLimitBytes = 5'000'000;  // 3 % of 160 MB.
     for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) {
       const SpreadOutcome outcome = spread(1'500'000, seed);
@@ -69,7 +69,7 @@
     }
   }
 
-  void a_holder_that_hangs_is_passed_over() {
+  void a_holder_that_hangs_is_skipped() {
     SpreadSetup setup;
     setup.document_bytes = 300'000;
     setup.reader_hangs_after = milliseconds(2100);
@@ -80,9 +80,9 @@
     }
   }
 
-  void a_full_link_between_regions_is_not_filled_further() {
-    // What four gateways read from the store takes 3.2 s over it, and twice in 2 s is more than it
-    // carries.
+  void a_full_link_between_regions_is_not_loaded_further() {
+    // The reads of four gateways from the store take 3.2 s over this link; two versions within 2 s
+    // exceed its capacity.
     SpreadSetup setup;
     setup.document_bytes = 1'000'000;
     setup.region_mbit_per_s = 10;
