--- a/src/gateway/backends/backend_choice.cpp
+++ b/src/gateway/backends/backend_choice.cpp
@@ -19,33 +19,34 @@
 
 }  // namespace
 
-bool BackendPool::may_take(const Backend& backend, const BackendNeed& need, TimePoint now) const {
+bool BackendPool::is_eligible(const Backend& backend, const BackendNeed& need,
+                              TimePoint now) const {
   const BackendRecord& record = backend.record;
   if (record.service != need.service->name || record.draining) return false;
-  if (now < backend.avoid_until || !usable(backend, now)) return false;
+  if (now < backend.backoff_until || !usable(backend, now)) return false;
   if (!need.service->engine) return true;
-  if (!watched(backend)) return false;
+  if (!subscribed(backend)) return false;
   if (record.weight_version == 0 || record.weight_version < need.lowest_version) return false;
-  return !fresh(backend, now) || (backend.report.alive && !backend.report.busy);
+  return !has_fresh_report(backend, now) || (backend.report.alive && !backend.report.busy);
 }
 
 double BackendPool::engine_wait_ms(Backend& backend, const EngineProfile& engine,
                                    const BackendNeed& need, TimePoint now) const {
-  const bool is_fresh = fresh(backend, now);
+  const bool report_is_fresh = has_fresh_report(backend, now);
   const TimePoint known_until = backend.reported_at - kReportTransit;
   while (!backend.sent.empty() && (backend.sent.front() <= known_until ||
                                    now - backend.sent.front() > options_.report_lifetime)) {
     backend.sent.pop_front();
   }
   EngineLoad load;
-  if (is_fresh) {
+  if (report_is_fresh) {
     load.pace = std::max(1.0, backend.report.pace);
     load.running = backend.report.running;
     load.waiting = backend.report.queued + static_cast<double>(backend.sent.size());
-    load.pending_tokens = backend.unread_prompt_tokens + backend.report.others_unread_tokens;
+    load.pending_tokens = backend.pending_prompt_tokens + backend.report.others_unread_tokens;
   } else {
     load.running = backend.in_flight * options_.gateway_count;
-    load.pending_tokens = backend.unread_prompt_tokens * options_.gateway_count;
+    load.pending_tokens = backend.pending_prompt_tokens * options_.gateway_count;
   }
   return predict_first_token_ms(engine, load, need.prompt_tokens);
 }
@@ -55,72 +56,73 @@
   return backend.in_flight * kPlainRequestMs;
 }
 
-double BackendPool::taken_places(const Backend& backend, TimePoint now) const {
-  if (!fresh(backend, now)) return backend.in_flight * options_.gateway_count;
+double BackendPool::occupied_slots(const Backend& backend, TimePoint now) const {
+  if (!has_fresh_report(backend, now)) return backend.in_flight * options_.gateway_count;
   return backend.report.running + backend.report.queued + static_cast<double>(backend.sent.size());
 }
 
 bool BackendPool::has_credit(const Backend& backend, const BackendNeed& need, TimePoint now) const {
   if (!need.service->engine || need.urgent) return true;
-  if (!fresh(backend, now)) return taken_places(backend, now) < backend.record.slots;
+  if (!has_fresh_report(backend, now)) return occupied_slots(backend, now) < backend.record.slots;
   return backend.sent.size() < backend.report.credit;
 }
 
-bool BackendPool::has_spare_room(const Backend& backend, const BackendNeed& need,
-                                 TimePoint now) const {
-  if (!need.spare_only || !need.service->engine || need.urgent) return true;
-  return taken_places(backend, now) + 1 <= need.service->engine->slots * (1 - kReservedShare);
+bool BackendPool::has_unreserved_slot(const Backend& backend, const BackendNeed& need,
+                                      TimePoint now) const {
+  if (!need.unreserved_only || !need.service->engine || need.urgent) return true;
+  return occupied_slots(backend, now) + 1 <= need.service->engine->slots * (1 - kReservedShare);
 }
 
 double BackendPool::overrun_ms(const Backend& backend, const BackendNeed& need, double wait_ms,
                                TimePoint now) const {
-  if (!need.service->engine || !fresh(backend, now) || !backend.report.leaves_in) return 0;
+  if (!need.service->engine || !has_fresh_report(backend, now) || !backend.report.leaves_in)
+    return 0;
   const EngineProfile& engine = *need.service->engine;
   const double usual_tokens = std::max(1.0, engine.usual_answer_tokens);
   const double tokens = need.answer_tokens > 0 ? need.answer_tokens : engine.usual_answer_tokens;
   // For each answer that ends, one prompt is read: that time is spread over the tokens.
-  const double others_reading_ms = backend.report.running * engine.usual_prompt_tokens *
+  const double others_prefill_ms = backend.report.running * engine.usual_prompt_tokens *
                                    kMillisecondsPerSecond / engine.prompt_tokens_per_s;
-  const double token_ms = engine.step_ms + others_reading_ms / usual_tokens;
+  const double token_ms = engine.step_ms + others_prefill_ms / usual_tokens;
   const double answer_ms = wait_ms + std::max(1.0, backend.report.pace) * tokens * token_ms;
   const TimePoint leaves_at = backend.reported_at + *backend.report.leaves_in;
   return std::max(0.0, answer_ms - to_seconds(leaves_at - now) * kMillisecondsPerSecond);
 }
 
-double BackendPool::least_overrun_ms(const BackendNeed& need, TimePoint now) const {
+double BackendPool::min_overrun_ms(const BackendNeed& need, TimePoint now) const {
   std::optional<double> least;
   for (const auto& [id, backend] : backends_) {
-    if (!may_take(backend, need, now)) continue;
+    if (!is_eligible(backend, need, now)) continue;
     const double overrun = overrun_ms(backend, need, 0, now);
     least = least ? std::min(*least, overrun) : overrun;
   }
   return least.value_or(0);
 }
 
-BackendPool::CommonKnowledge BackendPool::common_knowledge(const BackendNeed& need,
-                                                           TimePoint now) const {
+BackendPool::TelemetryCoverage BackendPool::telemetry_coverage(const BackendNeed& need,
+                                                               TimePoint now) const {
   if (!need.service->engine) return {};
   std::size_t engines = 0;
   std::size_t reporting = 0;
   std::size_t measured = 0;
   for (const auto& [id, backend] : backends_) {
-    if (backend.record.service != need.service->name || backend.gone) continue;
-    if (!watched(backend)) continue;
+    if (backend.record.service != need.service->name || backend.removed) continue;
+    if (!subscribed(backend)) continue;
     ++engines;
-    if (fresh(backend, now)) ++reporting;
+    if (has_fresh_report(backend, now)) ++reporting;
     if (backend.path_measured_at != TimePoint{}) ++measured;
   }
   return {reporting * 2 >= engines, engines > 0 && measured * 2 >= engines};
 }
 
-bool BackendPool::suspect(const Backend& backend, const CommonKnowledge& common,
-                          TimePoint now) const {
-  if (!common.reports) return false;
+bool BackendPool::possibly_stalled(const Backend& backend, const TelemetryCoverage& coverage,
+                                   TimePoint now) const {
+  if (!coverage.reports) return false;
   // The machine may stand still, and would run what it is sent now whenever it wakes.
-  if (!fresh(backend, now) || held_up(backend, now)) return true;
+  if (!has_fresh_report(backend, now) || path_delayed(backend, now)) return true;
   // An entry that lapsed behind a narrow link and came back: what is sent there before the path is
   // measured anew may begin so late that no request may start on these weights any more.
-  return common.paths && backend.path_measured_at == TimePoint{};
+  return coverage.paths && backend.path_measured_at == TimePoint{};
 }
 
 bool BackendPool::may_send(const std::string& id, const Backend& backend, const BackendNeed& need,
@@ -130,7 +132,7 @@
   return has_credit(backend, need, now);
 }
 
-double BackendPool::detour_ms(const Backend& backend, const BackendNeed& need) {
+double BackendPool::routing_penalty_ms(const Backend& backend, const BackendNeed& need) {
   std::uniform_real_distribution<double> tie_break(0, kTieBreakMs);
   double cost = tie_break(random_);
   if (backend.record.zone != options_.zone) cost += options_.other_zone_ms;
@@ -143,15 +145,15 @@
 template <class Visitor>
 void BackendPool::for_each_candidate(const BackendNeed& need, const std::set<std::string>& excluded,
                                      TimePoint now, Visitor visit) {
-  const CommonKnowledge common = common_knowledge(need, now);
-  const double longest_overrun_ms = least_overrun_ms(need, now) + options_.overrun_tolerance_ms;
+  const TelemetryCoverage coverage = telemetry_coverage(need, now);
+  const double max_overrun_ms = min_overrun_ms(need, now) + options_.overrun_tolerance_ms;
   for (auto& [id, backend] : backends_) {
-    if (!may_take(backend, need, now) || excluded.contains(id)) continue;
+    if (!is_eligible(backend, need, now) || excluded.contains(id)) continue;
     const double wait_ms = expected_ms(backend, need, now);
-    if (!has_spare_room(backend, need, now)) continue;
+    if (!has_unreserved_slot(backend, need, now)) continue;
     // One long answer keeps an engine from its new weights, and from all other requests.
-    if (overrun_ms(backend, need, wait_ms, now) > longest_overrun_ms) continue;
-    if (suspect(backend, common, now)) continue;
+    if (overrun_ms(backend, need, wait_ms, now) > max_overrun_ms) continue;
+    if (possibly_stalled(backend, coverage, now)) continue;
     visit(id, backend, wait_ms);
   }
 }
@@ -164,7 +166,7 @@
   for_each_candidate(
       need, excluded, now, [&](const std::string& id, const Backend& backend, double wait_ms) {
         if (!may_send(id, backend, need, now)) return;
-        const double cost = wait_ms + detour_ms(backend, need);
+        const double cost = wait_ms + routing_penalty_ms(backend, need);
         if (best && cost >= best_cost) return;
         best_cost = cost;
         best = BackendChoice{id, backend.record.address, backend.record.weight_version, wait_ms};
@@ -174,18 +176,18 @@
 
 void BackendPool::request_permit(const BackendNeed& need, const std::set<std::string>& excluded,
                                  std::size_t waiting, TimePoint now) {
-  if (permits_.open(now) >= waiting) return;
+  if (permits_.outstanding(now) >= waiting) return;
   std::optional<std::string> best;
   double best_cost = 0;
   for_each_candidate(need, excluded, now,
                      [&](const std::string& id, const Backend& backend, double wait_ms) {
-                       if (!limits_.limited(id) || !permits_.askable(id, now)) return;
-                       const double cost = wait_ms + detour_ms(backend, need);
+                       if (!limits_.limited(id) || !permits_.can_request(id, now)) return;
+                       const double cost = wait_ms + routing_penalty_ms(backend, need);
                        if (best && cost >= best_cost) return;
                        best_cost = cost;
                        best = id;
                      });
-  if (best) permits_.ask(*best, now);
+  if (best) permits_.request(*best, now);
 }
 
 }  // namespace pumicemast
--- a/src/gateway/backends/backend_limits.cpp
+++ b/src/gateway/backends/backend_limits.cpp
@@ -5,7 +5,7 @@
 
 /// Answers overtake each other: one without a limit proves its end only so long after the last
 /// that named it.
-constexpr Duration kLiftDelay = seconds(1);
+constexpr Duration kLimitRemovalDelay = seconds(1);
 
 }  // namespace
 
@@ -28,23 +28,24 @@
     return;
   }
   if (stated.per_second) {
-    note(backend, {stated.per_second, now}, LimitSource::answer);
+    update_limit(backend, {stated.per_second, now}, LimitSource::answer);
     beliefs_[backend].confirm(now);
     return;
   }
   const RateLimit known = limit_of(backend);
   if (!known.named() || !served) return;
   const bool asked_later = asked_at > known.observed_at;
-  if (asked_later && now - known.observed_at >= kLiftDelay)
-    note(backend, {{}, now}, LimitSource::answer);
+  if (asked_later && now - known.observed_at >= kLimitRemovalDelay)
+    update_limit(backend, {{}, now}, LimitSource::answer);
 }
 
-void BackendLimits::on_told(const std::string& backend, const RateLimit& limit,
-                            LimitSource source) {
-  note(backend, limit, source);
+void BackendLimits::on_reported(const std::string& backend, const RateLimit& limit,
+                                LimitSource source) {
+  update_limit(backend, limit, source);
 }
 
-void BackendLimits::note(const std::string& backend, const RateLimit& limit, LimitSource source) {
+void BackendLimits::update_limit(const std::string& backend, const RateLimit& limit,
+                                 LimitSource source) {
   if (!limit.named() && !beliefs_.contains(backend)) return;
   if (beliefs_[backend].on_observed(limit)) changes_.push_back({backend, limit, source});
 }
--- a/src/gateway/backends/backend_limits.h
+++ b/src/gateway/backends/backend_limits.h
@@ -32,7 +32,7 @@
   void on_answer(const std::string& backend, const StatedRateLimit& stated, bool served,
                  TimePoint asked_at, TimePoint now);
   /// Its agent or another gateway has observed a limit, or that there is none.
-  void on_told(const std::string& backend, const RateLimit& limit, LimitSource source);
+  void on_reported(const std::string& backend, const RateLimit& limit, LimitSource source);
   /// The back end has gone, or was started anew.
   void forget(const std::string& backend) { beliefs_.erase(backend); }
 
@@ -48,7 +48,7 @@
   std::uint64_t unreadable() const { return unreadable_; }
 
  private:
-  void note(const std::string& backend, const RateLimit& limit, LimitSource source);
+  void update_limit(const std::string& backend, const RateLimit& limit, LimitSource source);
 
   std::map<std::string, RateLimitBelief> beliefs_;
   std::vector<LimitChange> changes_;
--- a/src/gateway/backends/backend_permits.cpp
+++ b/src/gateway/backends/backend_permits.cpp
@@ -9,11 +9,11 @@
 /// issued.
 constexpr Duration kPermitLifetime = milliseconds(150);
 /// What was given back longer ago is told no more.
-constexpr Duration kGivenBackMemory = seconds(3);
+constexpr Duration kReturnRetention = seconds(3);
 
 }  // namespace
 
-bool BackendPermits::awaits(const Entry& entry, TimePoint now) {
+bool BackendPermits::awaiting_answer(const Entry& entry, TimePoint now) {
   return entry.asked_at && now < *entry.asked_at + kPermitLifetime;
 }
 
@@ -27,26 +27,26 @@
   return found != entries_.end() && count_held(found->second, now) > 0;
 }
 
-bool BackendPermits::askable(const std::string& backend, TimePoint now) const {
+bool BackendPermits::can_request(const std::string& backend, TimePoint now) const {
   const auto found = entries_.find(backend);
   if (found == entries_.end()) return true;
   const Entry& entry = found->second;
-  return !awaits(entry, now) && now >= entry.wait_until && count_held(entry, now) == 0;
+  return !awaiting_answer(entry, now) && now >= entry.denied_until && count_held(entry, now) == 0;
 }
 
-std::size_t BackendPermits::open(TimePoint now) const {
+std::size_t BackendPermits::outstanding(TimePoint now) const {
   std::size_t count = 0;
   for (const auto& [backend, entry] : entries_) {
-    count += count_held(entry, now) + (awaits(entry, now) ? 1 : 0);
+    count += count_held(entry, now) + (awaiting_answer(entry, now) ? 1 : 0);
   }
   return count;
 }
 
-void BackendPermits::ask(const std::string& backend, TimePoint now) {
+void BackendPermits::request(const std::string& backend, TimePoint now) {
   Entry& entry = entries_[backend];
-  give_up(entry);
+  abandon_request(entry);
   entry.asked_at = now;
-  entry.call_due = true;
+  entry.request_due = true;
   ++counters_.asked;
 }
 
@@ -54,18 +54,18 @@
   const auto found = entries_.find(answer.backend);
   if (found == entries_.end()) return;
   Entry& entry = found->second;
-  std::erase_if(entry.given_back, [&](const GivenBack& given) {
-    return given.told_by && *given.told_by <= answer.asked_at;
+  std::erase_if(entry.given_back, [&](const UnusedPermit& given) {
+    return given.reported_in && *given.reported_in <= answer.asked_at;
   });
-  const bool was_given_up = entry.asked_at != answer.asked_at;
-  if (!was_given_up) entry.asked_at.reset();
+  const bool was_abandoned = entry.asked_at != answer.asked_at;
+  if (!was_abandoned) entry.asked_at.reset();
   if (!answer.granted) {
     ++counters_.denied;
-    entry.wait_until = now + answer.retry_after;
+    entry.denied_until = now + answer.retry_after;
     return;
   }
   ++counters_.granted;
-  if (was_given_up) return;  // It was given back with its asking.
+  if (was_abandoned) return;  // It was given back with its asking.
   entry.held_until.push_back(answer.asked_at + kPermitLifetime);
 }
 
@@ -82,60 +82,62 @@
 
 void BackendPermits::release_unused() {
   for (auto& [backend, entry] : entries_) {
-    for (const TimePoint until : entry.held_until) give_back(entry, until);
+    for (const TimePoint until : entry.held_until) queue_return(entry, until);
     entry.held_until.clear();
   }
 }
 
 void BackendPermits::on_limit_changed(const std::string& backend) {
   const auto found = entries_.find(backend);
-  if (found != entries_.end()) found->second.wait_until = TimePoint{};
+  if (found != entries_.end()) found->second.denied_until = TimePoint{};
 }
 
-void BackendPermits::give_up(Entry& entry) {
+void BackendPermits::abandon_request(Entry& entry) {
   if (!entry.asked_at) return;
   entry.given_back.push_back({*entry.asked_at, {}});
   entry.asked_at.reset();
 }
 
-void BackendPermits::give_back(Entry& entry, TimePoint held_until) {
-  ++entry.to_return;
+void BackendPermits::queue_return(Entry& entry, TimePoint held_until) {
+  ++entry.unreported_returns;
   entry.given_back.push_back({held_until - kPermitLifetime, {}});
 }
 
-PermitCall BackendPermits::make_call(const std::string& backend, Entry& entry, bool asks,
-                                     TimePoint now) {
-  std::erase_if(entry.given_back,
-                [now](const GivenBack& given) { return now - given.asked_at > kGivenBackMemory; });
-  PermitCall call{backend, entry.asked_at.value_or(now), asks, entry.to_return, {}};
-  for (GivenBack& given : entry.given_back) {
-    if (asks) given.told_by = call.asked_at;
-    call.given_back.push_back(given.asked_at);
+PermitMessage BackendPermits::make_message(const std::string& backend, Entry& entry,
+                                           bool requests_permit, TimePoint now) {
+  std::erase_if(entry.given_back, [now](const UnusedPermit& given) {
+    return now - given.asked_at > kReturnRetention;
+  });
+  PermitMessage message{
+      backend, entry.asked_at.value_or(now), requests_permit, entry.unreported_returns, {}};
+  for (UnusedPermit& given : entry.given_back) {
+    if (requests_permit) given.reported_in = message.asked_at;
+    message.given_back.push_back(given.asked_at);
   }
-  entry.to_return = 0;
-  return call;
+  entry.unreported_returns = 0;
+  return message;
 }
 
-std::vector<PermitCall> BackendPermits::take_calls(TimePoint now) {
-  std::vector<PermitCall> calls;
+std::vector<PermitMessage> BackendPermits::take_messages(TimePoint now) {
+  std::vector<PermitMessage> messages;
   for (auto& [backend, entry] : entries_) {
     for (const TimePoint until : entry.held_until) {
-      if (now >= until) give_back(entry, until);
+      if (now >= until) queue_return(entry, until);
     }
     std::erase_if(entry.held_until, [now](TimePoint until) { return now >= until; });
-    const bool asks = entry.call_due && awaits(entry, now);
-    entry.call_due = false;
-    if (!asks && entry.to_return == 0) continue;
-    calls.push_back(make_call(backend, entry, asks, now));
-    counters_.returned += calls.back().returned;
+    const bool requests_permit = entry.request_due && awaiting_answer(entry, now);
+    entry.request_due = false;
+    if (!requests_permit && entry.unreported_returns == 0) continue;
+    messages.push_back(make_message(backend, entry, requests_permit, now));
+    counters_.returned += messages.back().returned;
   }
-  return calls;
+  return messages;
 }
 
 bool BackendPermits::active() const {
   return std::any_of(entries_.begin(), entries_.end(), [](const auto& item) {
     const Entry& entry = item.second;
-    return entry.call_due || entry.to_return > 0 || !entry.held_until.empty();
+    return entry.request_due || entry.unreported_returns > 0 || !entry.held_until.empty();
   });
 }
 
--- a/src/gateway/backends/backend_permits.h
+++ b/src/gateway/backends/backend_permits.h
@@ -17,7 +17,7 @@
 namespace pumicemast {
 
 /// What the issuer for a back end is to be told.
-struct PermitCall {
+struct PermitMessage {
   std::string backend;
   TimePoint asked_at{};
   bool wanted = false;
@@ -39,10 +39,10 @@
  public:
   bool held(const std::string& backend, TimePoint now) const;
   /// Whether one may be asked for: none is held or asked for, and the issuer has not said to wait.
-  bool askable(const std::string& backend, TimePoint now) const;
+  bool can_request(const std::string& backend, TimePoint now) const;
   /// Permits that are held or asked for.
-  std::size_t open(TimePoint now) const;
-  void ask(const std::string& backend, TimePoint now);
+  std::size_t outstanding(TimePoint now) const;
+  void request(const std::string& backend, TimePoint now);
   void on_answer(const PermitAnswer& answer, TimePoint now);
   /// A request goes to the back end.
   void use(const std::string& backend, TimePoint now);
@@ -54,30 +54,31 @@
   void forget(const std::string& backend) { entries_.erase(backend); }
 
   /// What is to be told to issuers now. Call after each event, and while permits are held.
-  std::vector<PermitCall> take_calls(TimePoint now);
-  /// Whether take_calls() may have something to tell, now or soon.
+  std::vector<PermitMessage> take_messages(TimePoint now);
+  /// Whether take_messages() may have something to tell, now or soon.
   bool active() const;
   const PermitCounters& counters() const { return counters_; }
 
  private:
-  struct GivenBack {
+  struct UnusedPermit {
     TimePoint asked_at{};
     /// Of the last request that told it.
-    std::optional<TimePoint> told_by;
+    std::optional<TimePoint> reported_in;
   };
   struct Entry {
     std::optional<TimePoint> asked_at;
-    bool call_due = false;
+    bool request_due = false;
     std::deque<TimePoint> held_until;
-    TimePoint wait_until{};
-    std::uint32_t to_return = 0;
-    std::vector<GivenBack> given_back;
+    TimePoint denied_until{};
+    std::uint32_t unreported_returns = 0;
+    std::vector<UnusedPermit> given_back;
   };
   /// The asking is over without an answer.
-  static void give_up(Entry& entry);
-  static void give_back(Entry& entry, TimePoint held_until);
-  static PermitCall make_call(const std::string& backend, Entry& entry, bool asks, TimePoint now);
-  static bool awaits(const Entry& entry, TimePoint now);
+  static void abandon_request(Entry& entry);
+  static void queue_return(Entry& entry, TimePoint held_until);
+  static PermitMessage make_message(const std::string& backend, Entry& entry, bool requests_permit,
+                                    TimePoint now);
+  static bool awaiting_answer(const Entry& entry, TimePoint now);
   static std::size_t count_held(const Entry& entry, TimePoint now);
 
   std::map<std::string, Entry> entries_;
--- a/src/gateway/backends/backend_pool.cpp
+++ b/src/gateway/backends/backend_pool.cpp
@@ -5,11 +5,11 @@
 namespace pumicemast {
 namespace {
 
-constexpr std::size_t kRememberedLeavers = 64;
-constexpr std::size_t kMostRestingConnections = 24;
+constexpr std::size_t kMaxRememberedDepartures = 64;
+constexpr std::size_t kMaxIdleConnections = 24;
 
 /// Whether the engine's process has ended between two reports of one agent.
-bool has_ended(const LoadReport& before, const LoadReport& after) {
+bool has_process_ended(const LoadReport& before, const LoadReport& after) {
   if (!before.alive) return false;
   const bool both_say = before.started_at_ms != 0 && after.started_at_ms != 0;
   return !after.alive || (both_say && before.started_at_ms != after.started_at_ms);
@@ -26,21 +26,21 @@
   return found == backends_.end() ? nullptr : &found->second;
 }
 
-void BackendPool::note_left(const std::string& id, std::uint64_t revision) {
-  const auto [known, is_new] = left_.emplace(id, revision);
-  if (!is_new) {
+void BackendPool::record_departure(const std::string& id, std::uint64_t revision) {
+  const auto [known, inserted] = departures_.emplace(id, revision);
+  if (!inserted) {
     known->second = std::max(known->second, revision);
     return;
   }
-  left_order_.push_back({id, revision});
-  if (left_order_.size() <= kRememberedLeavers) return;
-  left_.erase(left_order_.front().id);
-  left_order_.pop_front();
+  departure_order_.push_back({id, revision});
+  if (departure_order_.size() <= kMaxRememberedDepartures) return;
+  departures_.erase(departure_order_.front().id);
+  departure_order_.pop_front();
 }
 
-bool BackendPool::has_left(const BackendRecord& record) const {
-  const auto left = left_.find(record.id);
-  return left != left_.end() && left->second >= record.revision;
+bool BackendPool::has_departed(const BackendRecord& record) const {
+  const auto departure = departures_.find(record.id);
+  return departure != departures_.end() && departure->second >= record.revision;
 }
 
 void BackendPool::on_record(const BackendRecord& record) {
@@ -49,7 +49,7 @@
   // The list's revision tells which entry is newer: a clock that was set back makes a later start
   // look earlier.
   if (record.started_at_ms != backend.record.started_at_ms) {
-    forget_earlier_life(backend);
+    reset_for_new_process(backend);
     limits_.forget(record.id);
     permits_.forget(record.id);
   }
@@ -58,35 +58,36 @@
       backend.has_report ? backend.record.weight_version : record.weight_version;
   backend.record = record;
   backend.record.weight_version = version;
-  backend.record.draining = record.draining || has_left(record);
-  backend.gone = false;
-  if (record.draining) note_left(record.id, record.revision);
+  backend.record.draining = record.draining || has_departed(record);
+  backend.removed = false;
+  if (record.draining) record_departure(record.id, record.revision);
   ids_by_address_[record.address] = record.id;
 }
 
-void BackendPool::forget_earlier_life(Backend& backend) {
+void BackendPool::reset_for_new_process(Backend& backend) {
   // Its own requests still in flight end one by one, as on a lost connection.
   const std::uint32_t in_flight = backend.in_flight;
   backend = Backend{};
   backend.in_flight = in_flight;
 }
 
-void BackendPool::on_gone(const std::string& id, std::uint64_t revision, TimePoint now) {
+void BackendPool::on_removed(const std::string& id, std::uint64_t revision, TimePoint now) {
   Backend* backend = find(id);
-  if (backend == nullptr || backend->gone) return;
+  if (backend == nullptr || backend->removed) return;
   // Told late: a newer entry of the same name is known.
   if (revision != 0 && revision < backend->record.revision) return;
-  const bool may_be_lapse = !list_reachable_ || now < list_back_at_ + options_.lapse_window;
-  const TimePoint back_at = list_reachable_ ? list_back_at_ : now;
-  backend->gone = true;
-  backend->used_until = may_be_lapse ? back_at + options_.lapse_grace : now;
-  if (!may_be_lapse) note_left(id, std::max(revision, backend->record.revision));
+  const bool may_have_expired =
+      !list_reachable_ || now < list_reachable_since_ + options_.outage_expiry_window;
+  const TimePoint reachable_since = list_reachable_ ? list_reachable_since_ : now;
+  backend->removed = true;
+  backend->usable_until = may_have_expired ? reachable_since + options_.outage_expiry_grace : now;
+  if (!may_have_expired) record_departure(id, std::max(revision, backend->record.revision));
 }
 
 void BackendPool::sweep(TimePoint now) {
   std::erase_if(backends_, [&](const auto& entry) {
     const Backend& backend = entry.second;
-    if (!backend.gone || now < backend.used_until || backend.in_flight > 0) return false;
+    if (!backend.removed || now < backend.usable_until || backend.in_flight > 0) return false;
     const auto by_address = ids_by_address_.find(backend.record.address);
     if (by_address != ids_by_address_.end() && by_address->second == entry.first) {
       ids_by_address_.erase(by_address);
@@ -100,12 +101,12 @@
 void BackendPool::on_leaving(const std::string& id, std::uint64_t revision) {
   Backend* backend = find(id);
   if (backend != nullptr && backend->record.revision > revision) return;
-  note_left(id, revision);
+  record_departure(id, revision);
   if (backend != nullptr) backend->record.draining = true;
 }
 
 void BackendPool::on_list_reachable(bool reachable, TimePoint now) {
-  if (reachable && !list_reachable_) list_back_at_ = now;
+  if (reachable && !list_reachable_) list_reachable_since_ = now;
   list_reachable_ = reachable;
 }
 
@@ -117,7 +118,7 @@
   for (const auto& [id, backend] : backends_) {
     if (!named.contains(id)) missing.push_back(id);
   }
-  for (const std::string& id : missing) on_gone(id, revision, now);
+  for (const std::string& id : missing) on_removed(id, revision, now);
   for (const BackendRecord& record : records) on_record(record);
 }
 
@@ -127,19 +128,19 @@
   if (id == ids_by_address_.end()) return std::nullopt;
   Backend* backend = find(id->second);
   if (backend == nullptr) return std::nullopt;
-  const bool ended = backend->has_report && has_ended(backend->report, report);
+  const bool ended = backend->has_report && has_process_ended(backend->report, report);
   backend->report = report;
   backend->reported_at = now;
   backend->has_report = true;
   backend->record.weight_version = report.weight_version;
-  if (!ended) limits_.on_told(id->second, report.limit, LimitSource::agent);
+  if (!ended) limits_.on_reported(id->second, report.limit, LimitSource::agent);
   return ended ? std::optional<std::string>(id->second) : std::nullopt;
 }
 
-void BackendPool::on_others_backlog(const Address& address, std::uint32_t unread_tokens) {
+void BackendPool::on_others_backlog(const Address& address, std::uint32_t pending_tokens) {
   const auto id = ids_by_address_.find(address);
   if (id == ids_by_address_.end()) return;
-  if (Backend* backend = find(id->second)) backend->report.others_unread_tokens = unread_tokens;
+  if (Backend* backend = find(id->second)) backend->report.others_unread_tokens = pending_tokens;
 }
 
 void BackendPool::on_path_delay(const Address& address, Duration delay, TimePoint now) {
@@ -151,11 +152,11 @@
   backend->path_measured_at = now;
 }
 
-bool BackendPool::held_up(const Backend& backend, TimePoint now) const {
+bool BackendPool::path_delayed(const Backend& backend, TimePoint now) const {
   if (backend.path_measured_at == TimePoint{}) return false;
-  return backend.path_delay > options_.longest_path_delay ||
+  return backend.path_delay > options_.max_path_delay ||
          now - backend.path_measured_at >
-             options_.path_measurement_interval + options_.longest_path_delay;
+             options_.path_measurement_interval + options_.max_path_delay;
 }
 
 void BackendPool::on_agent_lost(const Address& address) {
@@ -170,14 +171,14 @@
   ++backend->in_flight;
   backend->sent.push_back(now);
   if (limits_.limited(id)) permits_.use(id, now);
-  backend->unread_prompt_tokens += prompt_tokens;
+  backend->pending_prompt_tokens += prompt_tokens;
   if (prompt_tokens > 0) changed_backlogs_.insert(id);
 }
 
 void BackendPool::on_first_token(const std::string& id, double prompt_tokens) {
   Backend* backend = find(id);
   if (backend == nullptr) return;
-  backend->unread_prompt_tokens = std::max(0.0, backend->unread_prompt_tokens - prompt_tokens);
+  backend->pending_prompt_tokens = std::max(0.0, backend->pending_prompt_tokens - prompt_tokens);
   if (prompt_tokens > 0) changed_backlogs_.insert(id);
 }
 
@@ -186,7 +187,7 @@
   for (const std::string& id : changed_backlogs_) {
     const Backend* backend = find(id);
     if (backend != nullptr) {
-      changed.push_back({backend->record.address, backend->unread_prompt_tokens});
+      changed.push_back({backend->record.address, backend->pending_prompt_tokens});
     }
   }
   changed_backlogs_.clear();
@@ -206,9 +207,9 @@
 void BackendPool::on_failure(const std::string& id, TimePoint now) {
   Backend* backend = find(id);
   if (backend == nullptr) return;
-  const Duration pause = options_.first_pause * (1 << std::min(backend->failures, 5U));
+  const Duration backoff = options_.initial_backoff * (1 << std::min(backend->failures, 5U));
   ++backend->failures;
-  backend->avoid_until = now + std::min(pause, options_.longest_pause);
+  backend->backoff_until = now + std::min(backoff, options_.max_backoff);
 }
 
 void BackendPool::on_success(const std::string& id) {
@@ -217,16 +218,16 @@
 }
 
 void BackendPool::on_refusal(const std::string& id, TimePoint now) {
-  constexpr Duration kRefusalPause = milliseconds(60);
+  constexpr Duration kRefusalBackoff = milliseconds(60);
   Backend* backend = find(id);
   if (backend != nullptr) {
-    backend->avoid_until = std::max(backend->avoid_until, now + kRefusalPause);
+    backend->backoff_until = std::max(backend->backoff_until, now + kRefusalBackoff);
   }
 }
 
 bool BackendPool::leaving(const std::string& id) const {
   const auto found = backends_.find(id);
-  return found == backends_.end() || found->second.record.draining || found->second.gone;
+  return found == backends_.end() || found->second.record.draining || found->second.removed;
 }
 
 BackendLife BackendPool::life_of(const std::string& id) const {
@@ -234,12 +235,12 @@
   return {id, found == backends_.end() ? 0 : found->second.record.started_at_ms};
 }
 
-bool BackendPool::holds(const std::string& service, std::uint64_t lowest_version,
-                        TimePoint now) const {
+bool BackendPool::has_weights(const std::string& service, std::uint64_t lowest_version,
+                              TimePoint now) const {
   return std::any_of(backends_.begin(), backends_.end(), [&](const auto& entry) {
     const Backend& backend = entry.second;
     const BackendRecord& record = backend.record;
-    return record.service == service && !record.draining && watched(backend) &&
+    return record.service == service && !record.draining && subscribed(backend) &&
            usable(backend, now) && record.weight_version != 0 &&
            record.weight_version >= lowest_version;
   });
@@ -247,13 +248,15 @@
 
 bool BackendPool::known_alive(const std::string& id, TimePoint now) const {
   const auto found = backends_.find(id);
-  return found != backends_.end() && fresh(found->second, now) && found->second.report.alive;
+  return found != backends_.end() && has_fresh_report(found->second, now) &&
+         found->second.report.alive;
 }
 
 std::size_t BackendPool::reporting(TimePoint now) const {
-  return static_cast<std::size_t>(std::count_if(
-      backends_.begin(), backends_.end(),
-      [&](const auto& entry) { return !entry.second.gone && fresh(entry.second, now); }));
+  return static_cast<std::size_t>(
+      std::count_if(backends_.begin(), backends_.end(), [&](const auto& entry) {
+        return !entry.second.removed && has_fresh_report(entry.second, now);
+      }));
 }
 
 std::vector<BackendRecord> BackendPool::records() const {
@@ -262,38 +265,38 @@
   return result;
 }
 
-std::vector<BackendRecord> BackendPool::listed() const {
+std::vector<BackendRecord> BackendPool::listed_records() const {
   std::vector<BackendRecord> result;
   for (const auto& [id, backend] : backends_) {
-    if (!backend.gone) result.push_back(backend.record);
+    if (!backend.removed) result.push_back(backend.record);
   }
   return result;
 }
 
-bool BackendPool::watched(const Backend& backend) const {
-  return !watched_ || watched_->contains(backend.record.address);
+bool BackendPool::subscribed(const Backend& backend) const {
+  return !subscribed_engines_ || subscribed_engines_->contains(backend.record.address);
 }
 
-bool BackendPool::fresh(const Backend& backend, TimePoint now) const {
+bool BackendPool::has_fresh_report(const Backend& backend, TimePoint now) const {
   return backend.has_report && now - backend.reported_at < options_.report_lifetime;
 }
 
 bool BackendPool::usable(const Backend& backend, TimePoint now) const {
-  if (!backend.gone) return true;
-  return now < backend.used_until && fresh(backend, now) && backend.report.alive;
+  if (!backend.removed) return true;
+  return now < backend.usable_until && has_fresh_report(backend, now) && backend.report.alive;
 }
 
-bool BackendPool::limits_requests(const std::string& service) const {
+bool BackendPool::has_limited_backend(const std::string& service) const {
   return std::any_of(backends_.begin(), backends_.end(), [&](const auto& entry) {
     const Backend& backend = entry.second;
-    return backend.record.service == service && !backend.record.draining && !backend.gone &&
+    return backend.record.service == service && !backend.record.draining && !backend.removed &&
            limits_.limited(entry.first);
   });
 }
 
-std::size_t BackendPool::resting_connections(const ServiceProfile& service) const {
+std::size_t BackendPool::max_idle_connections(const ServiceProfile& service) const {
   const double share = service.maximum_connections / std::max(1.0, options_.gateway_count);
-  return std::min(static_cast<std::size_t>(share), kMostRestingConnections);
+  return std::min(static_cast<std::size_t>(share), kMaxIdleConnections);
 }
 
 const BackendRecord* BackendPool::record_of(const std::string& id) const {
--- a/src/gateway/backends/backend_probe.cpp
+++ b/src/gateway/backends/backend_probe.cpp
@@ -6,15 +6,15 @@
 namespace {
 
 /// Several round trips between regions (6 ms each); well before the process may be back.
-constexpr Duration kProbeLimit = milliseconds(500);
+constexpr Duration kProbeTimeout = milliseconds(500);
 
 }  // namespace
 
 class BackendProbes::Probe : private StreamObserver {
  public:
   Probe(BackendProbes& owner, std::string backend, const Address& address)
-      : owner_(owner), backend_(std::move(backend)), stream_(address, kProbeLimit, *this) {
-    limit_.start_once(kProbeLimit, [this] { owner_.finish(backend_, false); });
+      : owner_(owner), backend_(std::move(backend)), stream_(address, kProbeTimeout, *this) {
+    timeout_.start_once(kProbeTimeout, [this] { owner_.finish(backend_, false); });
   }
 
  private:
@@ -27,7 +27,7 @@
   BackendProbes& owner_;
   std::string backend_;
   TcpStream stream_;
-  Timer limit_;
+  Timer timeout_;
 };
 
 BackendProbes::BackendProbes(std::function<void(const std::string& backend)> on_refused)
--- a/src/gateway/backends/engine_subset.cpp
+++ b/src/gateway/backends/engine_subset.cpp
@@ -7,13 +7,13 @@
 
 namespace pumicemast {
 
-std::vector<EnginePlace> choose_engines(PeerId gateway, const std::string& zone,
-                                        const std::vector<EnginePlace>& engines,
-                                        EngineSubsetOptions options) {
-  using Ranked = std::pair<std::uint64_t, const EnginePlace*>;
-  std::vector<EnginePlace> chosen;
+std::vector<EngineLocation> choose_engines(PeerId gateway, const std::string& zone,
+                                           const std::vector<EngineLocation>& engines,
+                                           EngineSubsetOptions options) {
+  using Ranked = std::pair<std::uint64_t, const EngineLocation*>;
+  std::vector<EngineLocation> chosen;
   std::map<std::string, std::vector<Ranked>> others;
-  for (const EnginePlace& engine : engines) {
+  for (const EngineLocation& engine : engines) {
     if (engine.zone == zone) {
       chosen.push_back(engine);
     } else {
--- a/src/gateway/backends/engine_subset.h
+++ b/src/gateway/backends/engine_subset.h
@@ -13,10 +13,10 @@
 
 namespace pumicemast {
 
-struct EnginePlace {
+struct EngineLocation {
   Address address;
   std::string zone;
-  bool operator==(const EnginePlace&) const = default;
+  bool operator==(const EngineLocation&) const = default;
 };
 
 struct EngineSubsetOptions {
@@ -27,8 +27,8 @@
 
 /// Ranks by hash of both: gateways choose differently, so that all engines are chosen about alike,
 /// and an engine that leaves moves nothing but its own place.
-std::vector<EnginePlace> choose_engines(PeerId gateway, const std::string& zone,
-                                        const std::vector<EnginePlace>& engines,
-                                        EngineSubsetOptions options = {});
+std::vector<EngineLocation> choose_engines(PeerId gateway, const std::string& zone,
+                                           const std::vector<EngineLocation>& engines,
+                                           EngineSubsetOptions options = {});
 
 }  // namespace pumicemast
--- a/src/gateway/backends/weight_targets.cpp
+++ b/src/gateway/backends/weight_targets.cpp
@@ -7,46 +7,46 @@
 
 /// A version that was found late binds no sooner than this. Bringing it to the back ends takes
 /// as long on the usual deployments; binding at once would leave no room at all meanwhile.
-constexpr Duration kShortestNotice = milliseconds(3000);
+constexpr Duration kMinNotice = milliseconds(3000);
 
 }  // namespace
 
 bool WeightTargets::on_named(const std::string& model, std::uint64_t version, TimePoint named_at,
                              bool assumed) {
   Target& target = targets_[model];
-  const auto known = target.namings.find(version);
-  if (known != target.namings.end()) {
-    Naming& naming = known->second;
+  const auto known = target.named_versions.find(version);
+  if (known != target.named_versions.end()) {
+    NamedVersion& named = known->second;
     if (assumed) return false;
-    naming.at = naming.assumed ? named_at : std::min(naming.at, named_at);
-    naming.assumed = false;
+    named.at = named.assumed ? named_at : std::min(named.at, named_at);
+    named.assumed = false;
     return false;
   }
-  target.namings[version] = {named_at, assumed};
+  target.named_versions[version] = {named_at, assumed};
   if (version <= target.version) return false;
   target.version = version;
   return true;
 }
 
-TimePoint WeightTargets::assumed_naming(Duration oldest, TimePoint now) const {
-  const Duration oldest_allowed = std::max(Duration::zero(), changeover_ - kShortestNotice);
+TimePoint WeightTargets::assumed_named_at(Duration oldest, TimePoint now) const {
+  const Duration oldest_allowed = std::max(Duration::zero(), changeover_ - kMinNotice);
   return now - std::min(oldest, oldest_allowed);
 }
 
 Duration WeightTargets::age(const std::string& model, TimePoint now) const {
   const auto found = targets_.find(model);
   if (found == targets_.end()) return Duration::zero();
-  const auto newest = found->second.namings.find(found->second.version);
-  return newest == found->second.namings.end() ? Duration::zero() : now - newest->second.at;
+  const auto newest = found->second.named_versions.find(found->second.version);
+  return newest == found->second.named_versions.end() ? Duration::zero() : now - newest->second.at;
 }
 
-std::vector<NamedWeights> WeightTargets::known_namings(TimePoint now) const {
+std::vector<NamedWeights> WeightTargets::known_versions(TimePoint now) const {
   std::vector<NamedWeights> result;
   for (const auto& [model, target] : targets_) {
     const std::uint64_t lowest = lowest_allowed(model, now);
-    for (const auto& [version, naming] : target.namings) {
+    for (const auto& [version, named] : target.named_versions) {
       if (version < lowest) continue;
-      result.push_back({model, version, now - naming.at, naming.assumed});
+      result.push_back({model, version, now - named.at, named.assumed});
     }
   }
   return result;
@@ -56,8 +56,8 @@
   const auto found = targets_.find(model);
   if (found == targets_.end()) return 0;
   std::uint64_t lowest = 0;
-  for (const auto& [version, naming] : found->second.namings) {
-    if (now - naming.at >= changeover_) lowest = std::max(lowest, version);
+  for (const auto& [version, named] : found->second.named_versions) {
+    if (now - named.at >= changeover_) lowest = std::max(lowest, version);
   }
   return lowest;
 }
@@ -66,8 +66,8 @@
                                     TimePoint at) const {
   const auto found = targets_.find(model);
   if (found == targets_.end()) return false;
-  const auto& namings = found->second.namings;
-  return std::any_of(namings.upper_bound(version), namings.end(),
+  const auto& named_versions = found->second.named_versions;
+  return std::any_of(named_versions.upper_bound(version), named_versions.end(),
                      [&](const auto& entry) { return at - entry.second.at >= start_bound_; });
 }
 
--- a/src/gateway/backends/weight_targets.h
+++ b/src/gateway/backends/weight_targets.h
@@ -38,12 +38,12 @@
                 bool assumed = false);
   /// When a version is taken to be named that was found now and named at most `oldest` ago: as
   /// early as can be, because requests must not begin on older ones beyond their time; but not so
-  /// early that back ends have no time to change over (kShortestNotice).
-  TimePoint assumed_naming(Duration oldest, TimePoint now) const;
+  /// early that back ends have no time to change over (kMinNotice).
+  TimePoint assumed_named_at(Duration oldest, TimePoint now) const;
   /// How long ago the newest version was named; zero when there is none.
   Duration age(const std::string& model, TimePoint now) const;
   /// All namings that still matter, to pass on: by model, then by version.
-  std::vector<NamedWeights> known_namings(TimePoint now) const;
+  std::vector<NamedWeights> known_versions(TimePoint now) const;
   /// The lowest version on which a request for `model` may start now; 0 for any.
   std::uint64_t lowest_allowed(const std::string& model, TimePoint now) const;
   std::uint64_t newest(const std::string& model) const;
@@ -51,13 +51,13 @@
   bool start_forbidden(const std::string& model, std::uint64_t version, TimePoint at) const;
 
  private:
-  struct Naming {
+  struct NamedVersion {
     TimePoint at{};
     bool assumed = false;
   };
   struct Target {
     std::uint64_t version = 0;
-    std::map<std::uint64_t, Naming> namings;
+    std::map<std::uint64_t, NamedVersion> named_versions;
   };
   Duration changeover_;
   Duration start_bound_ = Duration::max();
--- a/src/gateway/peers/fleet_links.cpp
+++ b/src/gateway/peers/fleet_links.cpp
@@ -130,10 +130,10 @@
   return result;
 }
 
-void FleetLinks::set_engines(const std::vector<EnginePlace>& engines) {
-  const std::map<PeerId, EnginePlace> before = std::move(agents_);
+void FleetLinks::set_engines(const std::vector<EngineLocation>& engines) {
+  const std::map<PeerId, EngineLocation> before = std::move(agents_);
   agents_.clear();
-  for (const EnginePlace& engine : engines) {
+  for (const EngineLocation& engine : engines) {
     const Address agent{engine.address.host, own_address_.port};
     const PeerId peer = peer_id(agent);
     agents_[peer] = engine;
--- a/src/gateway/peers/fleet_links.h
+++ b/src/gateway/peers/fleet_links.h
@@ -67,7 +67,7 @@
   bool start();
   /// The engines that this gateway is to hear of; an agent is thought beside each, on the port of
   /// the own address.
-  void set_engines(const std::vector<EnginePlace>& engines);
+  void set_engines(const std::vector<EngineLocation>& engines);
   /// The list of back ends is of that revision here.
   void set_list_revision(std::uint64_t revision) { list_revision_ = revision; }
   /// Tells the gateways and agents of the zone what this gateway has read.
@@ -151,7 +151,7 @@
   FleetLinksListener& listener_;
   PeerLinks links_;
   /// The engine beside each agent that this gateway hears from.
-  std::map<PeerId, EnginePlace> agents_;
+  std::map<PeerId, EngineLocation> agents_;
   std::set<PeerId> agents_to_tell_again_;  ///< Their links were lost since they were told.
   std::map<PeerId, Gateway> gateways_;
   std::set<PeerId> welcomed_;  ///< Gateways of the zone that have been told of the others.
--- a/src/gateway/peers/fleet_state.cpp
+++ b/src/gateway/peers/fleet_state.cpp
@@ -128,7 +128,7 @@
 
 void FleetState::update_engines() {
   if (!routes_) return;
-  std::vector<EnginePlace> engines;
+  std::vector<EngineLocation> engines;
   std::map<Address, wire::EngineDescriptionT> descriptions;
   for (const BackendRecord& record : pool_.records()) {
     const ServiceProfile* service = routes_->service(record.service);
@@ -137,10 +137,10 @@
     const auto description = describe_engine(*routes_, *service);
     if (description) descriptions[record.address] = *description;
   }
-  const std::vector<EnginePlace> chosen = choose_engines(self_, zone_, engines);
+  const std::vector<EngineLocation> chosen = choose_engines(self_, zone_, engines);
   std::set<Address> watched;
-  for (const EnginePlace& engine : chosen) watched.insert(engine.address);
-  pool_.set_watched(std::move(watched));
+  for (const EngineLocation& engine : chosen) watched.insert(engine.address);
+  pool_.set_subscribed_engines(std::move(watched));
   links_.set_engines(chosen);
   links_.set_descriptions(descriptions);
 }
@@ -164,7 +164,7 @@
 }
 
 void FleetState::note_gone(const std::string& id, std::uint64_t revision) {
-  pool_.on_gone(id, revision, loop_now());
+  pool_.on_removed(id, revision, loop_now());
   log_.line("backend", "backend id=" + id + " state=GONE");
 }
 
@@ -245,7 +245,7 @@
 
 BackendChanges FleetState::own_backend_list(ListScope scope) {
   BackendChanges list{0, list_relay_.revision(), true, {}};
-  for (const BackendRecord& record : pool_.listed()) {
+  for (const BackendRecord& record : pool_.listed_records()) {
     const BackendChange entry{record, false};
     if (scope == ListScope::all || concerns_agents(entry)) list.entries.push_back(entry);
   }
@@ -255,7 +255,7 @@
 void FleetState::on_weights_named(const std::string& model, std::uint64_t version,
                                   Duration oldest) {
   const bool seen = oldest == Duration::zero();
-  note_weights(model, version, targets_.assumed_naming(oldest, loop_now()), !seen);
+  note_weights(model, version, targets_.assumed_named_at(oldest, loop_now()), !seen);
 }
 
 void FleetState::note_weights(const std::string& model, std::uint64_t version, TimePoint named_at,
@@ -302,7 +302,7 @@
 
 void FleetState::tell_backlogs() {
   for (const PromptBacklog& backlog : pool_.take_changed_backlogs()) {
-    links_.tell_backlog(backlog.address, backlog.unread_tokens);
+    links_.tell_backlog(backlog.address, backlog.pending_tokens);
   }
 }
 
@@ -390,7 +390,7 @@
 void FleetState::on_engine_agent_lost(const Address& engine) { pool_.on_agent_lost(engine); }
 
 void FleetState::on_other_knowledge(const GatewayKnowledge& knowledge) {
-  for (const LeftBackend& left : knowledge.leaving) {
+  for (const BackendDeparture& left : knowledge.leaving) {
     pool_.on_leaving(left.id, left.revision);
   }
   for (const NamedWeights& weights : knowledge.weights) {
@@ -398,7 +398,7 @@
   }
   for (const ToldLimit& told : knowledge.limits) {
     if (pool_.life_of(told.backend.id) != told.backend) continue;
-    pool_.limits().on_told(told.backend.id, told.limit, LimitSource::gateway);
+    pool_.limits().on_reported(told.backend.id, told.limit, LimitSource::gateway);
   }
   follow_limits();
 }
@@ -406,8 +406,8 @@
 GatewayKnowledge FleetState::own_knowledge() {
   GatewayKnowledge knowledge;
   knowledge.configuration_version = routes_ ? routes_->version() : 0;
-  knowledge.leaving.assign(pool_.recently_left().begin(), pool_.recently_left().end());
-  knowledge.weights = targets_.known_namings(loop_now());
+  knowledge.leaving.assign(pool_.recent_departures().begin(), pool_.recent_departures().end());
+  knowledge.weights = targets_.known_versions(loop_now());
   knowledge.limits = limits_to_tell();
   knowledge.crash_verdicts = quarantine_.verdict_digest(loop_now());
   return knowledge;
--- a/src/gateway/peers/gateway_digest.cpp
+++ b/src/gateway/peers/gateway_digest.cpp
@@ -13,7 +13,7 @@
 /// Limits of back ends that one digest tells.
 constexpr std::size_t kLimitsTold = 32;
 
-void add_leaving(wire::GatewayDigestT& message, const std::vector<LeftBackend>& leaving) {
+void add_leaving(wire::GatewayDigestT& message, const std::vector<BackendDeparture>& leaving) {
   const std::size_t count = std::min(kLeavingTold, leaving.size());
   for (std::size_t index = leaving.size() - count; index < leaving.size(); ++index) {
     auto left = std::make_unique<wire::LeavingBackendT>();
--- a/src/gateway/peers/gateway_digest.h
+++ b/src/gateway/peers/gateway_digest.h
@@ -20,7 +20,7 @@
 /// What a gateway tells others.
 struct GatewayKnowledge {
   std::uint64_t configuration_version = 0;
-  std::vector<LeftBackend> leaving;
+  std::vector<BackendDeparture> leaving;
   std::vector<NamedWeights> weights;
   std::uint64_t crash_verdicts = 0;  ///< Digest of the requests in quarantine.
   std::vector<ToldLimit> limits;     ///< Of back ends without agents.
--- a/src/gateway/peers/permit_exchange.cpp
+++ b/src/gateway/peers/permit_exchange.cpp
@@ -21,7 +21,7 @@
 
 void PermitExchange::exchange() {
   const TimePoint now = loop_now();
-  for (const PermitCall& call : pool_.permits().take_calls(now)) {
+  for (const PermitMessage& call : pool_.permits().take_messages(now)) {
     const BackendRecord* record = pool_.record_of(call.backend);
     if (record != nullptr) send(*record, call, now);
   }
@@ -30,7 +30,7 @@
   }
 }
 
-void PermitExchange::send(const BackendRecord& record, const PermitCall& call, TimePoint now) {
+void PermitExchange::send(const BackendRecord& record, const PermitMessage& call, TimePoint now) {
   PermitRequest request{record.id,
                         record.started_at_ms,
                         call.asked_at,
@@ -88,7 +88,7 @@
   ranking_.on_answered(issuer);
   pool_.permits().on_answer(answer, now);
   const LimitSource source = links_.is_agent(issuer) ? LimitSource::agent : LimitSource::gateway;
-  pool_.limits().on_told(answer.backend, answer.limit, source);
+  pool_.limits().on_reported(answer.backend, answer.limit, source);
   on_room_();
   schedule();
 }
--- a/src/gateway/peers/permit_exchange.h
+++ b/src/gateway/peers/permit_exchange.h
@@ -41,7 +41,7 @@
     TimePoint asked_at{};
   };
   void exchange();
-  void send(const BackendRecord& record, const PermitCall& call, TimePoint now);
+  void send(const BackendRecord& record, const PermitMessage& call, TimePoint now);
   PermitAnswer issue(const PermitRequest& request, TimePoint now);
 
   PeerId self_;
--- a/src/gateway/requests/request_forwarder.cpp
+++ b/src/gateway/requests/request_forwarder.cpp
@@ -148,7 +148,7 @@
       targets_.lowest_allowed(session.request.model, now) > 0 ? choice.weight_version : 0;
   if (session.answer_begun) action.resume_after = session.splitter.last_id().value_or("");
   action.tenant = session.tenant;
-  action.resting_connections = pool_.resting_connections(*session.service);
+  action.resting_connections = pool_.max_idle_connections(*session.service);
   actions.emplace_back(std::move(action));
 }
 
--- a/src/gateway/requests/request_forwarder_time.cpp
+++ b/src/gateway/requests/request_forwarder_time.cpp
@@ -90,12 +90,12 @@
 
 RefusalReason RequestForwarder::reason_at_end(const RequestSession& session, TimePoint now) const {
   const bool chose_none = session.last_reason == RefusalReason::no_backend;
-  if (chose_none && pool_.limits_requests(session.service->name)) {
+  if (chose_none && pool_.has_limited_backend(session.service->name)) {
     return RefusalReason::rate_limited;
   }
   if (!chose_none || !session.service->engine) return session.last_reason;
   const std::uint64_t lowest = targets_.lowest_allowed(session.request.model, now);
-  if (pool_.holds(session.service->name, lowest, now)) return RefusalReason::no_capacity;
+  if (pool_.has_weights(session.service->name, lowest, now)) return RefusalReason::no_capacity;
   return lowest > 0 ? RefusalReason::weights_stale : RefusalReason::no_backend;
 }
 
--- a/src/gateway/requests/request_planner.cpp
+++ b/src/gateway/requests/request_planner.cpp
@@ -53,7 +53,7 @@
   need.lowest_version = targets_.lowest_allowed(session.request.model, now);
   need.preferred_version = session.answer_version;
   need.urgent = session.sends > 0;
-  need.spare_only = session.returning;
+  need.unreserved_only = session.returning;
   return need;
 }
 
--- a/tests/gateway/backends/backend_limits_test.cpp
+++ b/tests/gateway/backends/backend_limits_test.cpp
@@ -9,9 +9,9 @@
   CPPUNIT_TEST(an_answer_names_a_limit_and_a_later_one_ends_it);
   CPPUNIT_TEST(an_answer_to_an_earlier_request_ends_nothing);
   CPPUNIT_TEST(a_refusal_without_a_limit_ends_nothing);
-  CPPUNIT_TEST(the_newest_observation_holds_whoever_tells_it);
+  CPPUNIT_TEST(the_newest_observation_wins_from_any_source);
   CPPUNIT_TEST(a_limit_that_cannot_be_read_changes_nothing);
-  CPPUNIT_TEST(each_change_is_told_once);
+  CPPUNIT_TEST(each_change_is_reported_once);
   CPPUNIT_TEST_SUITE_END();
 
   BackendLimits limits;
@@ -53,16 +53,16 @@
     CPPUNIT_ASSERT(limits.limited("e1"));
   }
 
-  void the_newest_observation_holds_whoever_tells_it() {
-    limits.on_told("e1", {3.0, start}, LimitSource::agent);
+  void the_newest_observation_wins_from_any_source() {
+    limits.on_reported("e1", {3.0, start}, LimitSource::agent);
     CPPUNIT_ASSERT_EQUAL(3.0, *limits.limit_of("e1").per_second);
     answer(1, start, start + seconds(1));
-    limits.on_told("e1", {3.0, start + milliseconds(900)}, LimitSource::agent);
+    limits.on_reported("e1", {3.0, start + milliseconds(900)}, LimitSource::agent);
     CPPUNIT_ASSERT_EQUAL(1.0, *limits.limit_of("e1").per_second);
-    limits.on_told("e1", {{}, start + seconds(3)}, LimitSource::gateway);
+    limits.on_reported("e1", {{}, start + seconds(3)}, LimitSource::gateway);
     CPPUNIT_ASSERT(!limits.limited("e1"));
     // That none is named says nothing of a back end that never named one.
-    limits.on_told("e2", {{}, start}, LimitSource::gateway);
+    limits.on_reported("e2", {{}, start}, LimitSource::gateway);
     CPPUNIT_ASSERT(limits.limited().empty());
   }
 
@@ -75,7 +75,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, limits.unreadable());
   }
 
-  void each_change_is_told_once() {
+  void each_change_is_reported_once() {
     answer(2, start, start);
     answer(2, start, start + seconds(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, limits.take_changes().size());
--- a/tests/gateway/backends/backend_permits_test.cpp
+++ b/tests/gateway/backends/backend_permits_test.cpp
@@ -8,14 +8,14 @@
 
 class BackendPermitsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(BackendPermitsTest);
-  CPPUNIT_TEST(a_permit_is_asked_for_once_and_used_once);
-  CPPUNIT_TEST(a_permit_that_is_not_used_soon_goes_back);
-  CPPUNIT_TEST(a_permit_that_comes_late_goes_back);
-  CPPUNIT_TEST(a_denial_holds_until_its_time_or_another_limit);
-  CPPUNIT_TEST(an_unanswered_request_is_made_again);
-  CPPUNIT_TEST(an_unanswered_request_is_given_back_until_the_issuer_answers);
+  CPPUNIT_TEST(a_permit_is_requested_once_and_used_once);
+  CPPUNIT_TEST(an_unused_permit_is_returned_after_its_lifetime);
+  CPPUNIT_TEST(a_late_permit_is_returned);
+  CPPUNIT_TEST(a_denial_holds_until_its_retry_time_or_a_limit_change);
+  CPPUNIT_TEST(an_unanswered_request_is_repeated);
+  CPPUNIT_TEST(an_unanswered_request_is_reported_unused_until_the_issuer_answers);
   CPPUNIT_TEST(no_request_goes_to_a_limited_engine_without_a_permit);
-  CPPUNIT_TEST(who_is_refused_for_a_limit_is_told_so);
+  CPPUNIT_TEST(a_refusal_for_a_limit_names_its_reason);
   CPPUNIT_TEST_SUITE_END();
 
   BackendPermits permits;
@@ -26,16 +26,16 @@
   }
 
  public:
-  void a_permit_is_asked_for_once_and_used_once() {
-    CPPUNIT_ASSERT(permits.askable("e1", now));
-    permits.ask("e1", now);
-    CPPUNIT_ASSERT(!permits.askable("e1", now));
-    const auto calls = permits.take_calls(now);
-    CPPUNIT_ASSERT(calls.size() == 1 && calls[0].wanted && calls[0].returned == 0);
-    CPPUNIT_ASSERT(permits.take_calls(now).empty());
+  void a_permit_is_requested_once_and_used_once() {
+    CPPUNIT_ASSERT(permits.can_request("e1", now));
+    permits.request("e1", now);
+    CPPUNIT_ASSERT(!permits.can_request("e1", now));
+    const auto messages = permits.take_messages(now);
+    CPPUNIT_ASSERT(messages.size() == 1 && messages[0].wanted && messages[0].returned == 0);
+    CPPUNIT_ASSERT(permits.take_messages(now).empty());
     permits.on_answer(answer(true), now);
     CPPUNIT_ASSERT(permits.held("e1", now));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, permits.open(now));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, permits.outstanding(now));
     permits.use("e1", now);
     CPPUNIT_ASSERT(!permits.held("e1", now));
     CPPUNIT_ASSERT(!permits.active());
@@ -43,76 +43,76 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, permits.counters().used);
   }
 
-  void a_permit_that_is_not_used_soon_goes_back() {
-    permits.ask("e1", now);
-    permits.take_calls(now);
+  void an_unused_permit_is_returned_after_its_lifetime() {
+    permits.request("e1", now);
+    permits.take_messages(now);
     permits.on_answer(answer(true), now);
     CPPUNIT_ASSERT(permits.active());
     now += milliseconds(200);
     CPPUNIT_ASSERT(!permits.held("e1", now));
-    const auto calls = permits.take_calls(now);
-    CPPUNIT_ASSERT(calls.size() == 1 && !calls[0].wanted && calls[0].returned == 1);
-    permits.ask("e1", now);
-    permits.take_calls(now);
+    const auto messages = permits.take_messages(now);
+    CPPUNIT_ASSERT(messages.size() == 1 && !messages[0].wanted && messages[0].returned == 1);
+    permits.request("e1", now);
+    permits.take_messages(now);
     permits.on_answer(answer(true), now);
     permits.release_unused();
-    CPPUNIT_ASSERT_EQUAL(1U, permits.take_calls(now).at(0).returned);
+    CPPUNIT_ASSERT_EQUAL(1U, permits.take_messages(now).at(0).returned);
   }
 
-  void a_permit_that_comes_late_goes_back() {
-    permits.ask("e1", now);
-    permits.take_calls(now);
+  void a_late_permit_is_returned() {
+    permits.request("e1", now);
+    permits.take_messages(now);
     const PermitAnswer granted = answer(true);
     // This process stood still.
     now += seconds(3);
     permits.on_answer(granted, now);
     CPPUNIT_ASSERT(!permits.held("e1", now));
-    CPPUNIT_ASSERT_EQUAL(1U, permits.take_calls(now).at(0).returned);
+    CPPUNIT_ASSERT_EQUAL(1U, permits.take_messages(now).at(0).returned);
   }
 
-  void a_denial_holds_until_its_time_or_another_limit() {
-    permits.ask("e1", now);
+  void a_denial_holds_until_its_retry_time_or_a_limit_change() {
+    permits.request("e1", now);
     permits.on_answer(answer(false, seconds(2)), now);
-    CPPUNIT_ASSERT(!permits.askable("e1", now + milliseconds(1999)));
-    CPPUNIT_ASSERT(permits.askable("e1", now + seconds(2)));
+    CPPUNIT_ASSERT(!permits.can_request("e1", now + milliseconds(1999)));
+    CPPUNIT_ASSERT(permits.can_request("e1", now + seconds(2)));
     permits.on_limit_changed("e1");
-    CPPUNIT_ASSERT(permits.askable("e1", now));
+    CPPUNIT_ASSERT(permits.can_request("e1", now));
   }
 
-  void an_unanswered_request_is_made_again() {
-    permits.ask("e1", now);
-    permits.take_calls(now);
-    CPPUNIT_ASSERT(!permits.askable("e1", now + milliseconds(100)));
-    CPPUNIT_ASSERT(permits.askable("e1", now + milliseconds(150)));
+  void an_unanswered_request_is_repeated() {
+    permits.request("e1", now);
+    permits.take_messages(now);
+    CPPUNIT_ASSERT(!permits.can_request("e1", now + milliseconds(100)));
+    CPPUNIT_ASSERT(permits.can_request("e1", now + milliseconds(150)));
   }
 
   // Its answer may be lost, and the permit with it.
-  void an_unanswered_request_is_given_back_until_the_issuer_answers() {
+  void an_unanswered_request_is_reported_unused_until_the_issuer_answers() {
     const TimePoint first = now;
-    permits.ask("e1", now);
-    permits.take_calls(now);
+    permits.request("e1", now);
+    permits.take_messages(now);
     now += milliseconds(200);
     for (int lost = 0; lost < 2; ++lost) {
-      permits.ask("e1", now);
-      const auto calls = permits.take_calls(now);
-      CPPUNIT_ASSERT(calls.size() == 1 && calls[0].wanted);
-      CPPUNIT_ASSERT(calls[0].given_back.front() == first);
+      permits.request("e1", now);
+      const auto messages = permits.take_messages(now);
+      CPPUNIT_ASSERT(messages.size() == 1 && messages[0].wanted);
+      CPPUNIT_ASSERT(messages[0].given_back.front() == first);
       now += milliseconds(200);
     }
     // A late answer to what was given back is not used.
     permits.on_answer({"e1", first, true, Duration::zero(), {}}, now);
     CPPUNIT_ASSERT(!permits.held("e1", now));
-    permits.ask("e1", now);
-    permits.take_calls(now);
+    permits.request("e1", now);
+    permits.take_messages(now);
     permits.on_answer(answer(false), now);
-    permits.ask("e1", now);
-    CPPUNIT_ASSERT(permits.take_calls(now).at(0).given_back.empty());
+    permits.request("e1", now);
+    CPPUNIT_ASSERT(permits.take_messages(now).at(0).given_back.empty());
   }
 
   void no_request_goes_to_a_limited_engine_without_a_permit() {
     tests::GatewayWorld world;
     world.add_engines();
-    world.pool.limits().on_told("e1", {1.0, world.now}, LimitSource::agent);
+    world.pool.limits().on_reported("e1", {1.0, world.now}, LimitSource::agent);
     for (int count = 0; count < 3; ++count) {
       world.ask("/chat/1");
       CPPUNIT_ASSERT_EQUAL(std::string("e2"), world.sent_to());
@@ -123,7 +123,7 @@
     world.complete(request);
     CPPUNIT_ASSERT_EQUAL(std::string(), world.sent_to());
     // With a permit it is as good as any.
-    world.pool.permits().ask("e1", world.now);
+    world.pool.permits().request("e1", world.now);
     world.pool.permits().on_answer({"e1", world.now, true, Duration::zero(), {}}, world.now);
     world.report(2, 0, 1, 4);
     world.ask("/chat/1");
@@ -131,16 +131,16 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, world.pool.permits().counters().used);
   }
 
-  void who_is_refused_for_a_limit_is_told_so() {
+  void a_refusal_for_a_limit_names_its_reason() {
     tests::GatewayWorld world;
     world.add_engines();
     for (const char* engine : {"e1", "e2"}) {
-      world.pool.limits().on_told(engine, {1.0, world.now}, LimitSource::agent);
+      world.pool.limits().on_reported(engine, {1.0, world.now}, LimitSource::agent);
     }
     world.ask("/chat/1");
     CPPUNIT_ASSERT_EQUAL(std::string(), world.sent_to());
     // One permit for the one request that waits.
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world.pool.permits().open(world.now));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world.pool.permits().outstanding(world.now));
     world.tick(milliseconds(100));
     const auto* refusal = world.first<RefuseCaller>();
     CPPUNIT_ASSERT(refusal != nullptr);
--- a/tests/gateway/backends/backend_pool_test.cpp
+++ b/tests/gateway/backends/backend_pool_test.cpp
@@ -10,33 +10,33 @@
 class BackendPoolTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(BackendPoolTest);
   CPPUNIT_TEST(a_leaving_back_end_gets_nothing_new);
-  CPPUNIT_TEST(an_entry_that_vanishes_means_leaving);
-  CPPUNIT_TEST(an_entry_that_lapsed_in_an_outage_is_used_while_its_agent_vouches);
-  CPPUNIT_TEST(an_entry_that_leaves_well_after_an_outage_is_not_taken_for_lapsed);
-  CPPUNIT_TEST(a_lapse_is_counted_from_the_return_of_the_list);
+  CPPUNIT_TEST(a_removed_entry_counts_as_a_departure);
+  CPPUNIT_TEST(an_entry_that_expired_in_an_outage_is_used_while_its_agent_reports);
+  CPPUNIT_TEST(a_removal_well_after_an_outage_is_not_an_expiry);
+  CPPUNIT_TEST(the_expiry_grace_starts_when_the_list_is_reachable_again);
   CPPUNIT_TEST(an_entry_that_comes_back_is_used_again);
-  CPPUNIT_TEST(news_of_others_is_ordered_by_revision);
+  CPPUNIT_TEST(departures_reported_by_gateways_are_ordered_by_revision);
   CPPUNIT_TEST(credits_bound_what_is_sent_until_the_next_report);
   CPPUNIT_TEST(a_finished_request_returns_its_credit);
   CPPUNIT_TEST(a_finished_request_returns_no_credit_where_others_wait);
-  CPPUNIT_TEST(who_takes_spare_room_only_leaves_some_places_free);
-  CPPUNIT_TEST(an_engine_whose_agent_alone_is_silent_is_left_alone);
+  CPPUNIT_TEST(unreserved_only_requests_leave_reserved_slots_free);
+  CPPUNIT_TEST(an_engine_whose_agent_alone_is_silent_is_skipped);
   CPPUNIT_TEST(without_agents_engines_are_still_used);
   CPPUNIT_TEST(an_engine_behind_a_slow_path_gets_nothing_new);
   CPPUNIT_TEST(an_engine_whose_path_alone_was_never_measured_gets_nothing_new);
-  CPPUNIT_TEST(a_failing_back_end_rests_longer_each_time);
+  CPPUNIT_TEST(the_backoff_doubles_with_each_failure);
   CPPUNIT_TEST(a_continued_answer_prefers_its_version);
   CPPUNIT_TEST(an_older_record_does_not_undo_a_newer_one);
   CPPUNIT_TEST(a_long_answer_goes_where_it_ends_before_the_engine_leaves);
   CPPUNIT_TEST(a_short_answer_may_go_to_an_engine_that_leaves_soon);
-  CPPUNIT_TEST(when_all_engines_leave_the_one_kept_least_takes_a_long_answer);
+  CPPUNIT_TEST(when_all_engines_leave_a_long_answer_goes_to_the_least_overrun);
   CPPUNIT_TEST(prompts_of_other_gateways_lengthen_the_expected_wait);
-  CPPUNIT_TEST(changed_backlogs_are_told_once);
-  CPPUNIT_TEST(an_engine_started_again_under_its_id_keeps_nothing);
-  CPPUNIT_TEST(a_late_entry_of_an_earlier_start_undoes_nothing);
-  CPPUNIT_TEST(an_engine_that_is_not_watched_gets_nothing);
-  CPPUNIT_TEST(what_is_not_watched_says_nothing_of_the_others);
-  CPPUNIT_TEST(connections_that_rest_leave_room_for_all_gateways);
+  CPPUNIT_TEST(changed_backlogs_are_reported_once);
+  CPPUNIT_TEST(an_engine_restarted_under_its_id_inherits_no_state);
+  CPPUNIT_TEST(a_late_entry_of_an_earlier_process_is_ignored);
+  CPPUNIT_TEST(an_unsubscribed_engine_gets_nothing);
+  CPPUNIT_TEST(unsubscribed_engines_do_not_count_as_silent);
+  CPPUNIT_TEST(idle_connections_leave_room_for_all_gateways);
   CPPUNIT_TEST_SUITE_END();
 
   tests::GatewayWorld world;
@@ -46,35 +46,35 @@
  public:
   // A back end accepts so many connections from all callers together, and resets the rest: those
   // that rested at 149 gateways kept out whoever wanted to send.
-  void connections_that_rest_leave_room_for_all_gateways() {
+  void idle_connections_leave_room_for_all_gateways() {
     ServiceProfile service;
     for (const std::uint32_t maximum : {48U, 96U, 628U}) {
       service.maximum_connections = maximum;
       for (const std::size_t gateways : {1U, 7U, 40U, 149U}) {
         BackendPool pool{BackendPoolOptions{}};
         pool.set_gateway_count(gateways);
-        CPPUNIT_ASSERT(pool.resting_connections(service) * gateways <= maximum);
+        CPPUNIT_ASSERT(pool.max_idle_connections(service) * gateways <= maximum);
       }
     }
     BackendPool pool{BackendPoolOptions{}};
     pool.set_gateway_count(7);
     service.maximum_connections = 48;
-    CPPUNIT_ASSERT_EQUAL(std::size_t{6}, pool.resting_connections(service));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{6}, pool.max_idle_connections(service));
   }
 
   void setUp() override { need.service = &configuration.services[1]; }
 
   /// It holds no weights, and is neither as loaded nor as unreliable as it was.
-  void an_engine_started_again_under_its_id_keeps_nothing() {
+  void an_engine_restarted_under_its_id_inherits_no_state() {
     use_engines();
     world.pool.on_sent("e1", 500, world.now);
     world.pool.on_failure("e1", world.now);
-    world.pool.on_gone("e1", ++world.revision, world.now);
-    BackendRecord reborn = world.pool.records().front();
-    reborn.started_at_ms = 5;
-    reborn.revision = ++world.revision;
-    reborn.weight_version = 0;
-    world.pool.on_record(reborn);
+    world.pool.on_removed("e1", ++world.revision, world.now);
+    BackendRecord restarted = world.pool.records().front();
+    restarted.started_at_ms = 5;
+    restarted.revision = ++world.revision;
+    restarted.weight_version = 0;
+    world.pool.on_record(restarted);
     CPPUNIT_ASSERT(!world.pool.leaving("e1"));
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());  // It holds nothing yet.
     world.report(1, 4, 1);
@@ -82,41 +82,41 @@
     world.pool.on_finished("e1");  // Of its earlier life.
   }
 
-  void a_late_entry_of_an_earlier_start_undoes_nothing() {
+  void a_late_entry_of_an_earlier_process_is_ignored() {
     use_engines();
     const BackendRecord earlier = world.pool.records().front();
-    BackendRecord reborn = earlier;
-    reborn.started_at_ms = 5;
-    reborn.revision = ++world.revision;
-    world.pool.on_record(reborn);
+    BackendRecord restarted = earlier;
+    restarted.started_at_ms = 5;
+    restarted.revision = ++world.revision;
+    world.pool.on_record(restarted);
     world.report(1, 4, 1);
     BackendRecord late = earlier;
     late.draining = true;
     world.pool.on_record(late);
-    world.pool.on_gone("e1", earlier.revision, world.now);
+    world.pool.on_removed("e1", earlier.revision, world.now);
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
   }
 
   /// Nobody tells this gateway how loaded it is, or which weights it serves.
-  void an_engine_that_is_not_watched_gets_nothing() {
+  void an_unsubscribed_engine_gets_nothing() {
     use_engines();
     world.report(1, 4, 1);
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
-    world.pool.set_watched({});
+    world.pool.set_subscribed_engines({});
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
-    CPPUNIT_ASSERT(!world.pool.holds(need.service->name, 0, world.now));
+    CPPUNIT_ASSERT(!world.pool.has_weights(need.service->name, 0, world.now));
   }
 
   /// Of three engines one reports, which is half of the two that are watched: the other is suspect.
-  void what_is_not_watched_says_nothing_of_the_others() {
+  void unsubscribed_engines_do_not_count_as_silent() {
     use_engines();
     world.add_backend("e2", "engines", 2, 1);
     world.add_backend("e3", "engines", 3, 1);
-    std::set<Address> watched;
+    std::set<Address> subscribed;
     for (const BackendRecord& record : world.pool.records()) {
-      if (record.id == "e1" || record.id == "e2") watched.insert(record.address);
+      if (record.id == "e1" || record.id == "e2") subscribed.insert(record.address);
     }
-    world.pool.set_watched(watched);
+    world.pool.set_subscribed_engines(subscribed);
     world.report(1, 4, 1);
     for (int tries = 0; tries < 20; ++tries) CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
   }
@@ -128,22 +128,22 @@
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
   }
 
-  void an_entry_that_vanishes_means_leaving() {
+  void a_removed_entry_counts_as_a_departure() {
     world.add_backend("p1", "plain", 1);
-    world.pool.on_gone("p1", ++world.revision, world.now);
+    world.pool.on_removed("p1", ++world.revision, world.now);
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world.pool.recently_left().size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world.pool.recent_departures().size());
   }
 
-  void an_entry_that_lapsed_in_an_outage_is_used_while_its_agent_vouches() {
+  void an_entry_that_expired_in_an_outage_is_used_while_its_agent_reports() {
     use_engines();
     world.pool.on_list_reachable(false, world.now);
     world.now += seconds(5);
     world.report(1, 4, 1);
     world.pool.on_list_reachable(true, world.now);
-    world.pool.on_gone("e1", ++world.revision, world.now);
+    world.pool.on_removed("e1", ++world.revision, world.now);
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
-    CPPUNIT_ASSERT(world.pool.recently_left().empty());  // Others must not take it for leaving.
+    CPPUNIT_ASSERT(world.pool.recent_departures().empty());  // Others must not take it for leaving.
     world.now += milliseconds(1900);
     world.report(1, 4, 1);
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
@@ -152,7 +152,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
   }
 
-  void a_lapse_is_counted_from_the_return_of_the_list() {
+  void the_expiry_grace_starts_when_the_list_is_reachable_again() {
     use_engines();
     world.now += seconds(5);
     world.pool.on_list_reachable(false, world.now);
@@ -160,31 +160,31 @@
     world.pool.on_list_reachable(true, world.now);
     world.now += milliseconds(900);
     world.report(1, 4, 1);
-    world.pool.on_gone("e1", ++world.revision, world.now);
+    world.pool.on_removed("e1", ++world.revision, world.now);
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
     world.now += milliseconds(1400);  // 2.3 s after the return.
     world.report(1, 4, 1);
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
   }
 
-  void an_entry_that_leaves_well_after_an_outage_is_not_taken_for_lapsed() {
+  void a_removal_well_after_an_outage_is_not_an_expiry() {
     use_engines();
     world.pool.on_list_reachable(false, world.now);
     world.pool.on_list_reachable(true, world.now);
     world.now += milliseconds(1100);
     world.report(1, 4, 1);
-    world.pool.on_gone("e1", ++world.revision, world.now);
+    world.pool.on_removed("e1", ++world.revision, world.now);
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
   }
 
   void an_entry_that_comes_back_is_used_again() {
     world.add_backend("p1", "plain", 1);
-    world.pool.on_gone("p1", ++world.revision, world.now);
+    world.pool.on_removed("p1", ++world.revision, world.now);
     world.add_backend("p1", "plain", 1);  // With a higher revision.
     CPPUNIT_ASSERT_EQUAL(std::string("p1"), choose());
   }
 
-  void news_of_others_is_ordered_by_revision() {
+  void departures_reported_by_gateways_are_ordered_by_revision() {
     world.add_backend("p1", "plain", 1);
     world.pool.on_leaving("p1", world.revision - 1);  // Older than the entry here.
     CPPUNIT_ASSERT_EQUAL(std::string("p1"), choose());
@@ -230,18 +230,18 @@
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
   }
 
-  void who_takes_spare_room_only_leaves_some_places_free() {
+  void unreserved_only_requests_leave_reserved_slots_free() {
     use_engines();  // Of four places.
-    need.spare_only = true;
+    need.unreserved_only = true;
     world.report(1, 2, 1, 2);
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
     world.report(1, 1, 1, 3);
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
-    need.spare_only = false;
+    need.unreserved_only = false;
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
   }
 
-  void an_engine_whose_agent_alone_is_silent_is_left_alone() {
+  void an_engine_whose_agent_alone_is_silent_is_skipped() {
     use_engines();
     world.add_backend("e2", "engines", 2, 1);
     world.report(2, 0, 1, 4);
@@ -284,7 +284,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("e2"), choose());
   }
 
-  void a_failing_back_end_rests_longer_each_time() {
+  void the_backoff_doubles_with_each_failure() {
     world.add_backend("p1", "plain", 1);
     world.pool.on_failure("p1", world.now);
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
@@ -318,7 +318,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
   }
 
-  void when_all_engines_leave_the_one_kept_least_takes_a_long_answer() {
+  void when_all_engines_leave_a_long_answer_goes_to_the_least_overrun() {
     use_two_engines(milliseconds(200), milliseconds(1800));
     need.answer_tokens = 250;
     CPPUNIT_ASSERT_EQUAL(std::string("e2"), choose());
@@ -342,17 +342,17 @@
     CPPUNIT_ASSERT_DOUBLES_EQUAL(idle_ms, expected_ms(), 1e-6);
   }
 
-  void changed_backlogs_are_told_once() {
+  void changed_backlogs_are_reported_once() {
     use_engines();
     world.pool.on_sent("e1", 700, world.now);
     const auto sent = world.pool.take_changed_backlogs();
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sent.size());
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(700.0, sent.front().unread_tokens, 1e-9);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(700.0, sent.front().pending_tokens, 1e-9);
     CPPUNIT_ASSERT(world.pool.take_changed_backlogs().empty());
     world.pool.on_first_token("e1", 700);
     const auto begun = world.pool.take_changed_backlogs();
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, begun.size());
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(0.0, begun.front().unread_tokens, 1e-9);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(0.0, begun.front().pending_tokens, 1e-9);
   }
 
   void an_older_record_does_not_undo_a_newer_one() {
--- a/tests/gateway/backends/engine_subset_test.cpp
+++ b/tests/gateway/backends/engine_subset_test.cpp
@@ -17,8 +17,8 @@
 
 std::string zone_name(int zone) { return "zone-" + std::to_string(zone); }
 
-std::vector<EnginePlace> engines() {
-  std::vector<EnginePlace> places;
+std::vector<EngineLocation> engines() {
+  std::vector<EngineLocation> places;
   places.reserve(static_cast<std::size_t>(kZones) * kEnginesPerZone);
   for (int index = 0; index < kZones * kEnginesPerZone; ++index) {
     places.push_back({{"10.0.0." + std::to_string(index), 80}, zone_name(index % kZones)});
@@ -33,13 +33,13 @@
   CPPUNIT_TEST(all_of_the_own_zone_and_some_of_each_other);
   CPPUNIT_TEST(few_engines_are_all_chosen);
   CPPUNIT_TEST(every_engine_is_chosen_by_about_as_many_gateways);
-  CPPUNIT_TEST(an_engine_that_leaves_moves_its_own_place_alone);
+  CPPUNIT_TEST(removing_an_engine_replaces_only_that_engine);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void all_of_the_own_zone_and_some_of_each_other() {
     std::map<std::string, int> by_zone;
-    for (const EnginePlace& engine : choose_engines(7, zone_name(2), engines())) {
+    for (const EngineLocation& engine : choose_engines(7, zone_name(2), engines())) {
       ++by_zone[engine.zone];
     }
     for (int zone = 0; zone < kZones; ++zone) {
@@ -48,7 +48,7 @@
   }
 
   void few_engines_are_all_chosen() {
-    std::vector<EnginePlace> few = engines();
+    std::vector<EngineLocation> few = engines();
     few.resize(40);
     CPPUNIT_ASSERT_EQUAL(few.size(), choose_engines(7, "elsewhere", few).size());
   }
@@ -60,7 +60,8 @@
     std::size_t pairs = 0;
     for (int gateway = 0; gateway < kGateways; ++gateway) {
       const PeerId id = stable_hash(std::string("g") + std::to_string(gateway));
-      for (const EnginePlace& engine : choose_engines(id, zone_name(gateway % kZones), engines())) {
+      for (const EngineLocation& engine :
+           choose_engines(id, zone_name(gateway % kZones), engines())) {
         ++gateways[engine.address.to_string()];
         ++pairs;
       }
@@ -74,18 +75,19 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{kGateways * (24 + 4 * 8)}, pairs);
   }
 
-  void an_engine_that_leaves_moves_its_own_place_alone() {
-    const std::vector<EnginePlace> before = choose_engines(7, zone_name(2), engines());
-    std::vector<EnginePlace> fewer = engines();
-    const auto left = std::find_if(before.begin(), before.end(), [](const EnginePlace& engine) {
+  void removing_an_engine_replaces_only_that_engine() {
+    const std::vector<EngineLocation> before = choose_engines(7, zone_name(2), engines());
+    std::vector<EngineLocation> fewer = engines();
+    const auto left = std::find_if(before.begin(), before.end(), [](const EngineLocation& engine) {
       return engine.zone == zone_name(1);
     });
     std::erase(fewer, *left);
-    const std::vector<EnginePlace> after = choose_engines(7, zone_name(2), fewer);
+    const std::vector<EngineLocation> after = choose_engines(7, zone_name(2), fewer);
     CPPUNIT_ASSERT_EQUAL(before.size(), after.size());
-    const auto stays = std::count_if(before.begin(), before.end(), [&](const EnginePlace& engine) {
-      return std::find(after.begin(), after.end(), engine) != after.end();
-    });
+    const auto stays =
+        std::count_if(before.begin(), before.end(), [&](const EngineLocation& engine) {
+          return std::find(after.begin(), after.end(), engine) != after.end();
+        });
     CPPUNIT_ASSERT_EQUAL(before.size() - 1, static_cast<std::size_t>(stays));
   }
 };
--- a/tests/gateway/backends/limited_fleet_test.cpp
+++ b/tests/gateway/backends/limited_fleet_test.cpp
@@ -21,16 +21,16 @@
   CPPUNIT_TEST(any_limit_is_kept_and_used_by_any_number_of_gateways);
   CPPUNIT_TEST(limits_of_all_engines_at_once_are_kept_and_used);
   CPPUNIT_TEST(callers_lose_no_more_than_the_limits_take);
-  CPPUNIT_TEST(gateways_that_keep_the_limit_alone_break_it);
+  CPPUNIT_TEST(gateways_that_each_enforce_the_limit_alone_exceed_it);
   CPPUNIT_TEST(the_limit_holds_while_gateways_start_freeze_and_are_cut_off);
-  CPPUNIT_TEST(the_limit_holds_while_some_of_7_gateways_are_troubled);
-  CPPUNIT_TEST(the_limit_holds_while_some_of_149_gateways_are_troubled);
-  CPPUNIT_TEST(the_limit_holds_while_agents_start_anew);
-  CPPUNIT_TEST(a_limit_that_changes_is_followed);
-  CPPUNIT_TEST(an_engine_that_takes_nothing_is_tried_now_and_then);
+  CPPUNIT_TEST(the_limit_holds_while_some_of_7_gateways_have_faults);
+  CPPUNIT_TEST(the_limit_holds_while_some_of_149_gateways_have_faults);
+  CPPUNIT_TEST(the_limit_holds_while_agents_restart);
+  CPPUNIT_TEST(a_changed_limit_takes_effect);
+  CPPUNIT_TEST(an_engine_with_limit_zero_still_gets_a_few_requests);
   CPPUNIT_TEST(room_is_used_again_when_the_limit_ends);
-  CPPUNIT_TEST(an_engine_started_anew_has_no_limit);
-  CPPUNIT_TEST(messages_about_permits_are_few);
+  CPPUNIT_TEST(a_restarted_engine_has_no_limit);
+  CPPUNIT_TEST(permit_messages_stay_within_the_control_budget);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr Duration kSettled = seconds(1);
@@ -134,7 +134,7 @@
 
   // The ways that were weighed, side by side; the check is shown to fail where nobody holds the
   // sum.
-  void gateways_that_keep_the_limit_alone_break_it() {
+  void gateways_that_each_enforce_the_limit_alone_exceed_it() {
     constexpr double kLimit = 50;
     for (const std::size_t gateways : {7U, 40U, 149U}) {
       for (const LimitSharing sharing : {LimitSharing::issuer, LimitSharing::each_alone,
@@ -157,7 +157,7 @@
     std::printf("\n");
   }
 
-  static void check_with_troubled_gateways(std::size_t gateways, std::uint32_t seed) {
+  static void check_with_faulty_gateways(std::size_t gateways, std::uint32_t seed) {
     LimitedFleetOptions options;
     options.gateways = gateways;
     options.requests_per_s = 30;
@@ -177,21 +177,21 @@
     check_used(fleet, 1, 2, since, what);
   }
 
-  static void check_seeds_with_troubled_gateways(std::size_t gateways) {
-    for (std::uint32_t seed = 1; seed <= 5; ++seed) check_with_troubled_gateways(gateways, seed);
+  static void check_seeds_with_faulty_gateways(std::size_t gateways) {
+    for (std::uint32_t seed = 1; seed <= 5; ++seed) check_with_faulty_gateways(gateways, seed);
   }
 
   void the_limit_holds_while_gateways_start_freeze_and_are_cut_off() {
-    check_seeds_with_troubled_gateways(40);
+    check_seeds_with_faulty_gateways(40);
   }
-  void the_limit_holds_while_some_of_7_gateways_are_troubled() {
-    check_seeds_with_troubled_gateways(7);
+  void the_limit_holds_while_some_of_7_gateways_have_faults() {
+    check_seeds_with_faulty_gateways(7);
   }
-  void the_limit_holds_while_some_of_149_gateways_are_troubled() {
-    check_seeds_with_troubled_gateways(149);
+  void the_limit_holds_while_some_of_149_gateways_have_faults() {
+    check_seeds_with_faulty_gateways(149);
   }
 
-  void the_limit_holds_while_agents_start_anew() {
+  void the_limit_holds_while_agents_restart() {
     LimitedFleetOptions options;
     options.gateways = 40;
     options.requests_per_s = 30;
@@ -204,7 +204,7 @@
     check_kept(fleet, 1, 2, since, "agent started anew");
   }
 
-  void a_limit_that_changes_is_followed() {
+  void a_changed_limit_takes_effect() {
     LimitedFleetOptions options;
     options.requests_per_s = 100;
     LimitedFleet fleet(options);
@@ -226,7 +226,7 @@
     check_kept(fleet, 1, 40, flaps + seconds(4), "flapping");
   }
 
-  void an_engine_that_takes_nothing_is_tried_now_and_then() {
+  void an_engine_with_limit_zero_still_gets_a_few_requests() {
     LimitedFleetOptions options;
     options.requests_per_s = 20;
     LimitedFleet fleet(options);
@@ -257,7 +257,7 @@
     }
   }
 
-  void messages_about_permits_are_few() {
+  void permit_messages_stay_within_the_control_budget() {
     // A frame with one permit request or answer.
     constexpr double kMessageBytes = 120;
     // What a node may use for control.
@@ -285,7 +285,7 @@
     }
   }
 
-  void an_engine_started_anew_has_no_limit() {
+  void a_restarted_engine_has_no_limit() {
     LimitedFleetOptions options;
     options.gateways = 40;
     options.requests_per_s = 30;
--- a/tests/gateway/gateway_cores_test.cpp
+++ b/tests/gateway/gateway_cores_test.cpp
@@ -109,7 +109,7 @@
     targets.on_named("m", 3, now - seconds(10));
     targets.on_named("m", 4, now - seconds(3));
     targets.on_named("m", 5, now - seconds(1), true);
-    const std::vector<NamedWeights> namings = targets.known_namings(now);
+    const std::vector<NamedWeights> namings = targets.known_versions(now);
     // Version 3 binds already, so that 2 no longer matters; when 5 was named is not known.
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, namings.size());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, namings[2].version);
@@ -125,13 +125,13 @@
   void a_version_found_late_binds_by_when_it_may_have_been_named() {
     WeightTargets targets(seconds(7));
     const TimePoint now(seconds(100));
-    CPPUNIT_ASSERT(targets.assumed_naming(Duration::zero(), now) == now);
-    CPPUNIT_ASSERT(targets.assumed_naming(milliseconds(3300), now) == now - milliseconds(3300));
+    CPPUNIT_ASSERT(targets.assumed_named_at(Duration::zero(), now) == now);
+    CPPUNIT_ASSERT(targets.assumed_named_at(milliseconds(3300), now) == now - milliseconds(3300));
     // Back ends have 3 s to change over, however long ago the version may have been named.
-    CPPUNIT_ASSERT(targets.assumed_naming(seconds(60), now) == now - seconds(4));
-    CPPUNIT_ASSERT(targets.assumed_naming(Duration::max(), now) == now - seconds(4));
+    CPPUNIT_ASSERT(targets.assumed_named_at(seconds(60), now) == now - seconds(4));
+    CPPUNIT_ASSERT(targets.assumed_named_at(Duration::max(), now) == now - seconds(4));
     targets.set_changeover(seconds(2));
-    CPPUNIT_ASSERT(targets.assumed_naming(seconds(60), now) == now);
+    CPPUNIT_ASSERT(targets.assumed_named_at(seconds(60), now) == now);
   }
 
   void a_known_time_of_naming_replaces_an_assumed_one() {
--- a/tests/support/crash_world.cpp
+++ b/tests/support/crash_world.cpp
@@ -336,7 +336,7 @@
   engine.id = "e" + std::to_string(engine.address.port) + "-" + std::to_string(engine.life);
   engine.up = true;
   for (const auto& gateway : gateways_) {
-    gateway->pool.on_gone(old, ++revision_, now_);
+    gateway->pool.on_removed(old, ++revision_, now_);
     list_engine(*gateway, engine);
   }
   report(engine);
--- a/tests/support/limited_fleet.cpp
+++ b/tests/support/limited_fleet.cpp
@@ -250,7 +250,7 @@
 }
 
 void LimitedFleet::exchange_permits(std::size_t index, Gateway& gateway) {
-  for (const PermitCall& call : gateway.pool.permits().take_calls(now_)) {
+  for (const PermitMessage& call : gateway.pool.permits().take_messages(now_)) {
     const PermitRequest request{call.backend,
                                 gateway.pool.life_of(call.backend).started_at_ms,
                                 call.asked_at,
@@ -306,7 +306,7 @@
 void LimitedFleet::on_permit_answer(std::size_t index, Gateway& gateway,
                                     const PermitAnswer& answer) {
   gateway.pool.permits().on_answer(answer, now_);
-  gateway.pool.limits().on_told(answer.backend, answer.limit, LimitSource::agent);
+  gateway.pool.limits().on_reported(answer.backend, answer.limit, LimitSource::agent);
   ForwarderActions actions;
   gateway.forwarder.on_capacity(now_, actions);
   carry_out(index, gateway, actions);
