--- a/src/gateway/gateway_daemon.cpp
+++ b/src/gateway/gateway_daemon.cpp
@@ -405,8 +405,8 @@
     metrics_.on_crash(crash);
     log_.crash(crash);
   }
-  for (const RequestFingerprint& request : fleet_.quarantine().take_convicted()) {
-    const std::size_t ends = fleet_.quarantine().ends_under(request);
+  for (const RequestFingerprint& request : fleet_.quarantine().take_newly_quarantined()) {
+    const std::size_t ends = fleet_.quarantine().crash_count(request);
     log_.line("quarantine", "request fingerprint=" + to_string(request) +
                                 " state=QUARANTINED ends=" + std::to_string(ends));
   }
@@ -443,7 +443,7 @@
 std::string GatewayDaemon::quarantine_page() {
   std::string page;
   for (const QuarantinedRequest& entry : fleet_.quarantine().list(loop_now())) {
-    page += "fingerprint=" + to_string(entry.request) + " ends=" + std::to_string(entry.ends) +
+    page += "fingerprint=" + to_string(entry.request) + " ends=" + std::to_string(entry.crashes) +
             " held_for_s=" + std::to_string(to_milliseconds(entry.held_for) / 1000) + "\n";
   }
   return page;
--- a/src/gateway/gateway_log.cpp
+++ b/src/gateway/gateway_log.cpp
@@ -46,7 +46,7 @@
   constexpr std::size_t kNamed = 16;  // As many as an engine runs at once.
   std::ostringstream text;
   text << "backend id=" << crash.backend.id << " event=ended_under_requests"
-       << " in_crowd=" << (crash.in_crowd ? "yes" : "no") << " requests=" << crash.requests.size()
+       << " in_crowd=" << (crash.in_burst ? "yes" : "no") << " requests=" << crash.requests.size()
        << " fingerprints=";
   for (std::size_t index = 0; index < std::min(kNamed, crash.requests.size()); ++index) {
     text << (index > 0 ? "," : "") << to_string(crash.requests[index]);
--- a/src/gateway/gateway_log.h
+++ b/src/gateway/gateway_log.h
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "common/log_budget.h"
-#include "gateway/quarantine/crash_witness.h"
+#include "gateway/quarantine/crash_correlator.h"
 #include "gateway/requests/request_session.h"
 
 namespace pumicemast {
--- a/src/gateway/peers/fleet_links.cpp
+++ b/src/gateway/peers/fleet_links.cpp
@@ -248,7 +248,7 @@
   }
 }
 
-void FleetLinks::tell_crashes(const CrashNews& news) {
+void FleetLinks::tell_crashes(const CrashUpdate& news) {
   const wire::RequestCrashesT message = encode(news);
   for (const PeerId peer : gateways_told_at_once()) links_.send(peer, message);
 }
@@ -404,7 +404,7 @@
   }
   const GatewayKnowledge knowledge = decode(digest, loop_now());
   const std::uint64_t own_verdicts = listener_.own_knowledge().crash_verdicts;
-  if (verdict_pull_.should_ask(peer, digest.crash_verdicts(), own_verdicts, loop_now())) {
+  if (verdict_pull_.should_request(peer, digest.crash_verdicts(), own_verdicts, loop_now())) {
     links_.send(peer, wire::CrashVerdictsRequestT{});
   }
   configurations_.on_heard(peer, knowledge.configuration_version);
--- a/src/gateway/peers/fleet_links.h
+++ b/src/gateway/peers/fleet_links.h
@@ -21,7 +21,7 @@
 #include "gateway/backends/weight_targets.h"
 #include "gateway/peers/configuration_exchange.h"
 #include "gateway/peers/gateway_digest.h"
-#include "gateway/quarantine/crash_news.h"
+#include "gateway/quarantine/crash_update.h"
 #include "gateway/quarantine/verdict_pull.h"
 #include "limits/permit_issuer.h"
 #include "transport/peer_links.h"
@@ -50,9 +50,9 @@
   /// The list as it is known here, and its revision.
   virtual BackendChanges own_backend_list(ListScope scope) = 0;
   virtual GatewayKnowledge own_knowledge() = 0;
-  virtual void on_crash_news(const CrashNews& news) = 0;
+  virtual void on_crash_news(const CrashUpdate& news) = 0;
   /// The evidence of all verdicts on requests.
-  virtual CrashNews own_verdicts() = 0;
+  virtual CrashUpdate own_verdicts() = 0;
   virtual void on_permit_request(PeerId gateway, const PermitRequest& request) = 0;
   virtual void on_permit_answer(PeerId issuer, const PermitAnswer& answer) = 0;
 };
@@ -104,7 +104,7 @@
   void tell_weights_named(const std::string& model, std::uint64_t version);
   /// Tells some gateways under which requests back ends have ended; each tells others what was new
   /// to it.
-  void tell_crashes(const CrashNews& news);
+  void tell_crashes(const CrashUpdate& news);
   void send(PeerId issuer, const PermitRequest& request);
   void send(PeerId gateway, const PermitAnswer& answer);
   /// The agent beside a back end, if this gateway hears from it.
--- a/src/gateway/peers/fleet_state.cpp
+++ b/src/gateway/peers/fleet_state.cpp
@@ -356,16 +356,16 @@
 }
 
 void FleetState::tell_crashes() {
-  const CrashNews news = quarantine_.take_news(loop_now());
+  const CrashUpdate news = quarantine_.take_update(loop_now());
   if (!news.empty()) links_.tell_crashes(news);
 }
 
-void FleetState::on_crash_news(const CrashNews& news) {
+void FleetState::on_crash_news(const CrashUpdate& news) {
   // To be told on at once: the request may be under way to any gateway.
-  if (quarantine_.on_told(news, loop_now())) tell_crashes();
+  if (quarantine_.on_update(news, loop_now())) tell_crashes();
 }
 
-CrashNews FleetState::own_verdicts() { return quarantine_.verdicts(loop_now()); }
+CrashUpdate FleetState::own_verdicts() { return quarantine_.verdicts(loop_now()); }
 
 void FleetState::on_store_reachable(bool reachable) {
   if (reachable == store_reachable_) return;
--- a/src/gateway/peers/fleet_state.h
+++ b/src/gateway/peers/fleet_state.h
@@ -88,8 +88,8 @@
   void on_list_revision_told(PeerId gateway, std::uint64_t revision) override;
   BackendChanges own_backend_list(ListScope scope) override;
   GatewayKnowledge own_knowledge() override;
-  void on_crash_news(const CrashNews& news) override;
-  CrashNews own_verdicts() override;
+  void on_crash_news(const CrashUpdate& news) override;
+  CrashUpdate own_verdicts() override;
   void on_permit_request(PeerId gateway, const PermitRequest& request) override;
   void on_permit_answer(PeerId issuer, const PermitAnswer& answer) override;
 
--- /dev/null
+++ b/src/gateway/quarantine/crash_correlator.cpp
@@ -0,0 +1,83 @@
+#include "gateway/quarantine/crash_correlator.h"
+
+#include <algorithm>
+
+namespace pumicemast {
+namespace {
+
+/// Between a connection's end and the word that the process ended: an agent's interval of asking,
+/// its patience with an engine that says nothing, and the way here.
+constexpr Duration kConfirmationTimeout = milliseconds(1500);
+/// Agents that ask their engines by turns tell of ends at one moment within such a span.
+constexpr Duration kBurstSpan = milliseconds(200);
+/// Fewer that end within the span are taken for a coincidence.
+constexpr std::ptrdiff_t kMinBurstSize = 3;
+
+}  // namespace
+
+void CrashCorrelator::on_answer_interrupted(const BackendLife& backend,
+                                            const RequestFingerprint& request, TimePoint now) {
+  const auto exited = exited_.find(backend.id);
+  if (exited != exited_.end() && now - exited->second <= kConfirmationTimeout) {
+    unreported_.push_back({backend, exited->second, {request}});
+    return;
+  }
+  interrupted_[backend.id].push_back({backend, request, now});
+}
+
+void CrashCorrelator::on_process_exit(const std::string& backend, TimePoint now) {
+  exited_[backend] = now;
+  const auto found = interrupted_.find(backend);
+  if (found == interrupted_.end()) return;
+  BackendCrash crash{found->second.back().backend, now, {}};
+  for (const InterruptedAnswer& interrupted : found->second) {
+    if (now - interrupted.at <= kConfirmationTimeout) crash.requests.push_back(interrupted.request);
+  }
+  interrupted_.erase(found);
+  if (!crash.requests.empty()) unreported_.push_back(std::move(crash));
+}
+
+bool CrashCorrelator::in_burst(TimePoint at) const {
+  return std::count_if(exited_.begin(), exited_.end(), [&](const auto& entry) {
+           return std::chrono::abs(entry.second - at) <= kBurstSpan;
+         }) >= kMinBurstSize;
+}
+
+std::vector<BackendCrash> CrashCorrelator::take_crashes(TimePoint now) {
+  std::vector<BackendCrash> result = std::move(unreported_);
+  unreported_.clear();
+  for (BackendCrash& crash : result) crash.in_burst = in_burst(crash.at);
+  // The ends of a crowd are told one after the other.
+  std::erase_if(taken_as_single_, [&](BackendCrash& crash) {
+    if (!in_burst(crash.at)) return now - crash.at > kBurstSpan * 2;
+    crash.in_burst = true;
+    result.push_back(std::move(crash));
+    return true;
+  });
+  for (const BackendCrash& crash : result) {
+    if (!crash.in_burst) taken_as_single_.push_back(crash);
+  }
+  return result;
+}
+
+bool CrashCorrelator::awaits_confirmation(const RequestFingerprint& request, TimePoint now) const {
+  return std::any_of(interrupted_.begin(), interrupted_.end(), [&](const auto& entry) {
+    return std::any_of(
+        entry.second.begin(), entry.second.end(), [&](const InterruptedAnswer& interrupted) {
+          return interrupted.request == request && now - interrupted.at <= kConfirmationTimeout;
+        });
+  });
+}
+
+void CrashCorrelator::sweep(TimePoint now) {
+  std::erase_if(exited_,
+                [&](const auto& entry) { return now - entry.second > kConfirmationTimeout; });
+  for (auto& [backend, attempts] : interrupted_) {
+    std::erase_if(attempts, [&](const InterruptedAnswer& interrupted) {
+      return now - interrupted.at > kConfirmationTimeout;
+    });
+  }
+  std::erase_if(interrupted_, [](const auto& entry) { return entry.second.empty(); });
+}
+
+}  // namespace pumicemast
--- a/src/gateway/quarantine/crash_witness.h
+++ b/src/gateway/quarantine/crash_correlator.h
@@ -23,35 +23,37 @@
   TimePoint at{};
   std::vector<RequestFingerprint> requests;
   /// Several back ends ended at that moment: what ended them may be common to them all.
-  bool in_crowd = false;
+  bool in_burst = false;
 };
 
-class CrashWitness {
+class CrashCorrelator {
  public:
   /// The attempt of a request broke off before its answer was whole.
-  void on_cut_off(const BackendLife& backend, const RequestFingerprint& request, TimePoint now);
+  void on_answer_interrupted(const BackendLife& backend, const RequestFingerprint& request,
+                             TimePoint now);
   /// The back end's process ended, whatever ran there.
-  void on_ended(const std::string& backend, TimePoint now);
+  void on_process_exit(const std::string& backend, TimePoint now);
   /// What was found since the last call; once more what has turned out to be one of a crowd.
   std::vector<BackendCrash> take_crashes(TimePoint now);
   /// Whether it may yet turn out that a process ended under the request.
-  bool awaits(const RequestFingerprint& request, TimePoint now) const;
+  bool awaits_confirmation(const RequestFingerprint& request, TimePoint now) const;
   /// Forgets what was not confirmed in time. Call now and then.
   void sweep(TimePoint now);
 
  private:
-  struct CutOff {
+  struct InterruptedAnswer {
     BackendLife backend;
     RequestFingerprint request;
     TimePoint at{};
   };
 
-  bool in_crowd(TimePoint at) const;
+  bool in_burst(TimePoint at) const;
 
-  std::map<std::string, std::vector<CutOff>> cut_off_;  ///< By id, without word of the end.
-  std::map<std::string, TimePoint> ended_;              ///< By id: ended a moment ago.
-  std::vector<BackendCrash> found_;                     ///< Not taken yet.
-  std::vector<BackendCrash> taken_;                     ///< A moment ago, as alone.
+  std::map<std::string, std::vector<InterruptedAnswer>>
+      interrupted_;                            ///< By id, without word of the end.
+  std::map<std::string, TimePoint> exited_;    ///< By id: ended a moment ago.
+  std::vector<BackendCrash> unreported_;       ///< Not taken yet.
+  std::vector<BackendCrash> taken_as_single_;  ///< A moment ago, as alone.
 };
 
 }  // namespace pumicemast
--- a/src/gateway/quarantine/crash_messages.cpp
+++ b/src/gateway/quarantine/crash_messages.cpp
@@ -18,47 +18,50 @@
 
 }  // namespace
 
-wire::RequestCrashesT encode(const CrashNews& news) {
+wire::RequestCrashesT encode(const CrashUpdate& update) {
   wire::RequestCrashesT message;
-  for (const ToldCrash& crash : news.crashes) {
-    auto told = std::make_unique<wire::CrashedBackendT>();
-    told->backend = crash.backend;
-    told->age_ms = encode_age(crash.age);
-    told->in_crowd = crash.in_crowd;
-    told->by_newcomer = crash.by_newcomer;
+  for (const ReportedCrash& crash : update.crashes) {
+    auto entry = std::make_unique<wire::CrashedBackendT>();
+    entry->backend = crash.backend;
+    entry->age_ms = encode_age(crash.age);
+    entry->in_crowd = crash.in_burst;
+    entry->by_newcomer = crash.observer_warming_up;
     for (const RequestFingerprint& request : crash.requests) {
-      told->requests.emplace_back(request.high, request.low);
+      entry->requests.emplace_back(request.high, request.low);
     }
-    message.crashes.push_back(std::move(told));
+    message.crashes.push_back(std::move(entry));
   }
-  for (const ToldAcquittal& acquittal : news.acquittals) {
-    auto told = std::make_unique<wire::AcquittedRequestT>();
+  for (const ReportedCompletion& acquittal : update.completions) {
+    auto entry = std::make_unique<wire::AcquittedRequestT>();
     const RequestFingerprint& request = acquittal.request;
-    told->request = std::make_unique<wire::Fingerprint>(request.high, request.low);
-    told->age_ms = encode_age(acquittal.age);
-    message.acquitted.push_back(std::move(told));
+    entry->request = std::make_unique<wire::Fingerprint>(request.high, request.low);
+    entry->age_ms = encode_age(acquittal.age);
+    message.acquitted.push_back(std::move(entry));
   }
   return message;
 }
 
-CrashNews decode(const wire::RequestCrashes& message) {
-  CrashNews news;
+CrashUpdate decode(const wire::RequestCrashes& message) {
+  CrashUpdate update;
   if (message.crashes() != nullptr) {
-    for (const auto* told : *message.crashes()) {
-      ToldCrash crash{
-          told->backend(), milliseconds(told->age_ms()), {}, told->in_crowd(), told->by_newcomer()};
-      if (told->requests() == nullptr) continue;
-      for (const auto* request : *told->requests()) crash.requests.push_back(decode(*request));
-      news.crashes.push_back(std::move(crash));
+    for (const auto* entry : *message.crashes()) {
+      ReportedCrash crash{entry->backend(),
+                          milliseconds(entry->age_ms()),
+                          {},
+                          entry->in_crowd(),
+                          entry->by_newcomer()};
+      if (entry->requests() == nullptr) continue;
+      for (const auto* request : *entry->requests()) crash.requests.push_back(decode(*request));
+      update.crashes.push_back(std::move(crash));
     }
   }
   if (message.acquitted() != nullptr) {
-    for (const auto* told : *message.acquitted()) {
-      if (told->request() == nullptr) continue;
-      news.acquittals.push_back({decode(*told->request()), milliseconds(told->age_ms())});
+    for (const auto* entry : *message.acquitted()) {
+      if (entry->request() == nullptr) continue;
+      update.completions.push_back({decode(*entry->request()), milliseconds(entry->age_ms())});
     }
   }
-  return news;
+  return update;
 }
 
 }  // namespace pumicemast
--- /dev/null
+++ b/src/gateway/quarantine/crash_update.cpp
@@ -0,0 +1,64 @@
+#include "gateway/quarantine/crash_update.h"
+
+#include <algorithm>
+#include <map>
+#include <utility>
+
+namespace pumicemast {
+namespace {
+
+/// Entries a second, of about 40 bytes each to 8 gateways: 20 KB/s at most, of the 30 KB/s that a
+/// node may use for control.
+constexpr double kEntriesPerSecond = 64;
+/// An engine of 16 slots ends under 16 requests: a dozen engines may end at once.
+constexpr double kEntryBurst = 200;
+/// What waits; beyond it the least urgent is dropped. Other gateways miss single ends then, and
+/// convict later.
+constexpr std::size_t kMaxQueuedEntries = 4096;
+
+}  // namespace
+
+CrashUpdateQueue::CrashUpdateQueue() : bucket_(kEntriesPerSecond, kEntryBurst) {}
+
+void CrashUpdateQueue::add_crash(const RequestFingerprint& request, const CrashEvent& event,
+                                 std::size_t known_crashes) {
+  const QueuedCrash entry{request, event, known_crashes};
+  const auto more_urgent = [](const QueuedCrash& left, const QueuedCrash& right) {
+    return std::pair(left.known_crashes, left.event.at) <
+           std::pair(right.known_crashes, right.event.at);
+  };
+  crashes_.insert(std::upper_bound(crashes_.begin(), crashes_.end(), entry, more_urgent), entry);
+  if (crashes_.size() > kMaxQueuedEntries) crashes_.erase(crashes_.begin());
+}
+
+void CrashUpdateQueue::add_completion(const RequestFingerprint& request, TimePoint at) {
+  completions_.push_back({request, at});
+  if (completions_.size() > kMaxQueuedEntries) completions_.erase(completions_.begin());
+}
+
+CrashUpdate CrashUpdateQueue::take(TimePoint now) {
+  CrashUpdate update;
+  std::map<std::pair<std::uint64_t, TimePoint>, ReportedCrash> by_event;
+  while (!crashes_.empty() && bucket_.try_take(1, now)) {
+    const QueuedCrash& entry = crashes_.back();
+    const auto [reported, inserted] = by_event.try_emplace({entry.event.backend, entry.event.at});
+    ReportedCrash& crash = reported->second;
+    crash.backend = entry.event.backend;
+    // An end may wait here twice, once with what was learnt of it later.
+    crash.in_burst = crash.in_burst || entry.event.in_burst;
+    crash.observer_warming_up =
+        entry.event.observer_warming_up && (inserted || crash.observer_warming_up);
+    crash.age = std::max(Duration::zero(), now - entry.event.at);
+    crash.requests.push_back(entry.request);
+    crashes_.pop_back();
+  }
+  for (auto& [event, crash] : by_event) update.crashes.push_back(std::move(crash));
+  while (!completions_.empty() && bucket_.try_take(1, now)) {
+    const QueuedCompletion& entry = completions_.back();
+    update.completions.push_back({entry.request, std::max(Duration::zero(), now - entry.at)});
+    completions_.pop_back();
+  }
+  return update;
+}
+
+}  // namespace pumicemast
--- a/src/gateway/quarantine/request_quarantine.cpp
+++ b/src/gateway/quarantine/request_quarantine.cpp
@@ -8,205 +8,219 @@
 namespace {
 
 /// Of one request. With three to convict, the longest hold is that of the first verdict 32 times.
-constexpr std::size_t kEndsKept = 8;
+constexpr std::size_t kMaxCrashesPerRequest = 8;
 /// Two ends of a crowd are told within such a span: of agents that ask by turns, over links that
 /// differ, by gateways that each see the moment for themselves.
-constexpr Duration kSameCrowd = milliseconds(400);
+constexpr Duration kBurstReportSpan = milliseconds(400);
 /// For how long a whole answer speaks for its request. Long enough for a request that many callers
 /// send, some of them through each gateway; short, because new weights may make a killer of one
 /// that has run well: until then its ends count for nothing.
-constexpr Duration kSoundFor = seconds(15);
+constexpr Duration kCompletionRetention = seconds(15);
 /// After its start a gateway knows this long too little of what ends well: until requests that were
 /// under way when it began have mostly been answered.
-constexpr Duration kLearningTime = seconds(2);
+constexpr Duration kWarmUpAfterStart = seconds(2);
 /// The same from the first whole answer that it sees: engines may be back later than gateways.
-constexpr Duration kLearningFromAnswers = seconds(1);
+constexpr Duration kWarmUpAfterFirstAnswer = seconds(1);
 /// Of one such span; 100 requests a second reach a busy gateway.
-constexpr std::size_t kSoundKept = 4096;
+constexpr std::size_t kMaxCompletionsPerSpan = 4096;
 /// Requests of which one message tells the evidence, about 80 bytes each.
-constexpr std::size_t kVerdictsTold = 256;
+constexpr std::size_t kMaxVerdictsPerMessage = 256;
 
 }  // namespace
 
 RequestQuarantine::RequestQuarantine(QuarantineOptions options, TimePoint started)
-    : options_(options), started_(started), sound_(kSoundFor, kSoundKept) {
-  if (started == TimePoint::min()) learnt_at_ = started;
+    : options_(options),
+      started_(started),
+      recently_completed_(kCompletionRetention, kMaxCompletionsPerSpan) {
+  if (started == TimePoint::min()) warmed_up_at_ = started;
 }
 
-std::size_t RequestQuarantine::Record::counted() const {
-  const auto near = [](const BackendEnd& one, const BackendEnd& other) {
-    return one.backend != other.backend && std::chrono::abs(one.at - other.at) <= kSameCrowd;
+std::size_t RequestQuarantine::Record::counted_crashes() const {
+  const auto near = [](const CrashEvent& one, const CrashEvent& other) {
+    return one.backend != other.backend && std::chrono::abs(one.at - other.at) <= kBurstReportSpan;
   };
-  const auto counts = [&](const SeenEnd& seen) {
-    if (seen.outlived) return false;
-    if (!seen.end.in_crowd) return true;
-    if (seen.end.by_newcomer) return false;
-    return std::any_of(ends.begin(), ends.end(), [&](const SeenEnd& other) {
-      return other.end.in_crowd && !other.end.by_newcomer && near(seen.end, other.end);
+  const auto counts = [&](const RecordedCrash& seen) {
+    if (seen.discounted) return false;
+    if (!seen.event.in_burst) return true;
+    if (seen.event.observer_warming_up) return false;
+    return std::any_of(crashes.begin(), crashes.end(), [&](const RecordedCrash& other) {
+      return other.event.in_burst && !other.event.observer_warming_up &&
+             near(seen.event, other.event);
     });
   };
-  return static_cast<std::size_t>(std::count_if(ends.begin(), ends.end(), counts));
+  return static_cast<std::size_t>(std::count_if(crashes.begin(), crashes.end(), counts));
 }
 
-TimePoint RequestQuarantine::Record::last() const {
-  TimePoint latest = acquitted_at.value_or(TimePoint::min());
-  for (const SeenEnd& seen : ends) latest = std::max(latest, seen.end.at);
+TimePoint RequestQuarantine::Record::last_event_at() const {
+  TimePoint latest = completed_at.value_or(TimePoint::min());
+  for (const RecordedCrash& seen : crashes) latest = std::max(latest, seen.event.at);
   return latest;
 }
 
-bool RequestQuarantine::add_end(const RequestFingerprint& request, const BackendEnd& end) {
+bool RequestQuarantine::add_crash(const RequestFingerprint& request, const CrashEvent& event) {
   if (!request.known()) return false;
   if (!records_.contains(request)) make_room();
   Record& record = records_[request];
-  const bool was_convicted = convicted(record, end.at);
-  const auto known = std::find_if(record.ends.begin(), record.ends.end(), [&](const SeenEnd& seen) {
-    return seen.end.backend == end.backend;
-  });
-  if (known != record.ends.end()) {
+  const bool was_over_threshold = over_threshold(record, event.at);
+  const auto known =
+      std::find_if(record.crashes.begin(), record.crashes.end(),
+                   [&](const RecordedCrash& seen) { return seen.event.backend == event.backend; });
+  if (known != record.crashes.end()) {
     // One gateway hears of more back ends than another, or has run for longer.
-    const bool crowd_shows = end.in_crowd && !known->end.in_crowd;
-    const bool seen_by_older = !end.by_newcomer && known->end.by_newcomer;
-    if (!crowd_shows && !seen_by_older) return false;
-    known->end.in_crowd = known->end.in_crowd || end.in_crowd;
-    known->end.by_newcomer = known->end.by_newcomer && end.by_newcomer;
+    const bool joins_burst = event.in_burst && !known->event.in_burst;
+    const bool observer_warmed_up = !event.observer_warming_up && known->event.observer_warming_up;
+    if (!joins_burst && !observer_warmed_up) return false;
+    known->event.in_burst = known->event.in_burst || event.in_burst;
+    known->event.observer_warming_up =
+        known->event.observer_warming_up && event.observer_warming_up;
   } else {
-    if (record.acquitted_at && end.at <= *record.acquitted_at) return false;
-    record.ends.push_back({end, false});
-    if (record.ends.size() > kEndsKept) record.ends.erase(record.ends.begin());
+    if (record.completed_at && event.at <= *record.completed_at) return false;
+    record.crashes.push_back({event, false});
+    if (record.crashes.size() > kMaxCrashesPerRequest) record.crashes.erase(record.crashes.begin());
   }
-  if (!was_convicted && convicted(record, end.at)) new_convicted_.push_back(request);
-  news_.add_end(request, end, record.ends.size());
+  if (!was_over_threshold && over_threshold(record, event.at))
+    newly_quarantined_.push_back(request);
+  updates_.add_crash(request, event, record.crashes.size());
   return true;
 }
 
-bool RequestQuarantine::acquit(const RequestFingerprint& request, TimePoint at) {
+bool RequestQuarantine::discount_crashes(const RequestFingerprint& request, TimePoint at) {
   if (!records_.contains(request)) make_room();
   Record& record = records_[request];
-  record.acquitted_at = std::max(record.acquitted_at.value_or(at), at);
+  record.completed_at = std::max(record.completed_at.value_or(at), at);
   bool changed = false;
-  for (SeenEnd& seen : record.ends) {
-    if (seen.outlived || seen.end.at > at) continue;
-    seen.outlived = true;
+  for (RecordedCrash& seen : record.crashes) {
+    if (seen.discounted || seen.event.at > at) continue;
+    seen.discounted = true;
     changed = true;
   }
   // Only what changes a verdict is told on: the moment moves a little with each telling.
-  if (changed) news_.add_acquittal(request, at);
+  if (changed) updates_.add_completion(request, at);
   return changed;
 }
 
 void RequestQuarantine::on_crash(const BackendCrash& crash) {
-  const BackendEnd end{
+  const CrashEvent event{
       stable_hash(crash.backend.id, static_cast<std::uint64_t>(crash.backend.started_at_ms)),
-      crash.at, crash.in_crowd, !learnt_at_ || crash.at < *learnt_at_};
+      crash.at, crash.in_burst, !warmed_up_at_ || crash.at < *warmed_up_at_};
   for (const RequestFingerprint& request : crash.requests) {
-    if (!sound_.contains(request, crash.at)) add_end(request, end);
+    if (!recently_completed_.contains(request, crash.at)) add_crash(request, event);
   }
 }
 
-void RequestQuarantine::on_ended_well(const RequestFingerprint& request, TimePoint now) {
-  if (!learnt_at_) learnt_at_ = std::max(started_ + kLearningTime, now + kLearningFromAnswers);
-  sound_.add(request, now);
+void RequestQuarantine::on_completed(const RequestFingerprint& request, TimePoint now) {
+  if (!warmed_up_at_)
+    warmed_up_at_ = std::max(started_ + kWarmUpAfterStart, now + kWarmUpAfterFirstAnswer);
+  recently_completed_.add(request, now);
   const auto found = records_.find(request);
   if (found == records_.end()) return;
-  acquit(request, now);
+  discount_crashes(request, now);
 }
 
-bool RequestQuarantine::on_told(const CrashNews& news, TimePoint now) {
+bool RequestQuarantine::on_update(const CrashUpdate& update, TimePoint now) {
   bool changed = false;
-  for (const ToldAcquittal& told : news.acquittals) {
-    changed = acquit(told.request, now - told.age) || changed;
+  for (const ReportedCompletion& reported : update.completions) {
+    changed = discount_crashes(reported.request, now - reported.age) || changed;
   }
-  for (const ToldCrash& crash : news.crashes) {
-    const BackendEnd end{crash.backend, now - crash.age, crash.in_crowd, crash.by_newcomer};
+  for (const ReportedCrash& crash : update.crashes) {
+    const CrashEvent event{crash.backend, now - crash.age, crash.in_burst,
+                           crash.observer_warming_up};
     for (const RequestFingerprint& request : crash.requests) {
-      changed = add_end(request, end) || changed;
+      changed = add_crash(request, event) || changed;
     }
   }
   return changed;
 }
 
-std::size_t RequestQuarantine::ends_under(const RequestFingerprint& request) const {
+std::size_t RequestQuarantine::crash_count(const RequestFingerprint& request) const {
   const auto found = records_.find(request);
-  return found == records_.end() ? 0 : found->second.counted();
+  return found == records_.end() ? 0 : found->second.counted_crashes();
 }
 
-bool RequestQuarantine::convicted(const Record& record, TimePoint now) const {
-  return record.counted() >= options_.ends_to_convict && now < record.last() + hold_of(record);
+bool RequestQuarantine::over_threshold(const Record& record, TimePoint now) const {
+  return record.counted_crashes() >= options_.crash_threshold &&
+         now < record.last_event_at() + hold_duration(record);
 }
 
-Duration RequestQuarantine::hold_of(const Record& record) const {
-  const std::size_t counted = std::max(record.counted(), options_.ends_to_convict);
-  return options_.hold * (1U << (counted - options_.ends_to_convict));
+Duration RequestQuarantine::hold_duration(const Record& record) const {
+  const std::size_t counted = std::max(record.counted_crashes(), options_.crash_threshold);
+  return options_.hold * (1U << (counted - options_.crash_threshold));
 }
 
 bool RequestQuarantine::quarantined(const RequestFingerprint& request, TimePoint now) const {
   const auto found = records_.find(request);
-  return found != records_.end() && convicted(found->second, now) && !pardoned_.contains(request);
+  return found != records_.end() && over_threshold(found->second, now) &&
+         !pardoned_.contains(request);
 }
 
 std::vector<QuarantinedRequest> RequestQuarantine::list(TimePoint now) const {
   std::vector<QuarantinedRequest> result;
   for (const auto& [request, record] : records_) {
     if (!quarantined(request, now)) continue;
-    result.push_back({request, record.counted(), record.last() + hold_of(record) - now});
+    result.push_back(
+        {request, record.counted_crashes(), record.last_event_at() + hold_duration(record) - now});
   }
   return result;
 }
 
-std::vector<RequestFingerprint> RequestQuarantine::take_convicted() {
-  std::vector<RequestFingerprint> result = std::move(new_convicted_);
-  new_convicted_.clear();
+std::vector<RequestFingerprint> RequestQuarantine::take_newly_quarantined() {
+  std::vector<RequestFingerprint> result = std::move(newly_quarantined_);
+  newly_quarantined_.clear();
   return result;
 }
 
-CrashNews RequestQuarantine::verdicts(TimePoint now) const {
+CrashUpdate RequestQuarantine::verdicts(TimePoint now) const {
   std::vector<const std::pair<const RequestFingerprint, Record>*> judged;
   for (const auto& entry : records_) {
-    if (entry.second.acquitted_at || convicted(entry.second, now)) judged.push_back(&entry);
+    if (entry.second.completed_at || over_threshold(entry.second, now)) judged.push_back(&entry);
   }
   std::sort(judged.begin(), judged.end(), [](const auto* left, const auto* right) {
-    return left->second.last() > right->second.last();
+    return left->second.last_event_at() > right->second.last_event_at();
   });
-  if (judged.size() > kVerdictsTold) judged.resize(kVerdictsTold);
-  CrashNews news;
+  if (judged.size() > kMaxVerdictsPerMessage) judged.resize(kMaxVerdictsPerMessage);
+  CrashUpdate update;
   for (const auto* entry : judged) {
     const auto& [request, record] = *entry;
-    for (const SeenEnd& seen : record.ends) {
-      if (seen.outlived) continue;
-      const Duration age = now - seen.end.at;
-      news.crashes.push_back(
-          {seen.end.backend, age, {request}, seen.end.in_crowd, seen.end.by_newcomer});
+    for (const RecordedCrash& seen : record.crashes) {
+      if (seen.discounted) continue;
+      const Duration age = now - seen.event.at;
+      update.crashes.push_back({seen.event.backend,
+                                age,
+                                {request},
+                                seen.event.in_burst,
+                                seen.event.observer_warming_up});
     }
-    if (record.acquitted_at) news.acquittals.push_back({request, now - *record.acquitted_at});
+    if (record.completed_at) update.completions.push_back({request, now - *record.completed_at});
   }
-  return news;
+  return update;
 }
 
 std::uint64_t RequestQuarantine::verdict_digest(TimePoint now) const {
   std::uint64_t digest = 0;
   for (const auto& [request, record] : records_) {
-    if (convicted(record, now)) digest ^= stable_hash(request.high, request.low);
+    if (over_threshold(record, now)) digest ^= stable_hash(request.high, request.low);
   }
   return digest;
 }
 
 void RequestQuarantine::make_room() {
   if (records_.size() < options_.capacity) return;
-  const auto matters_less = [](const auto& left, const auto& right) {
+  const auto evicted_first = [](const auto& left, const auto& right) {
     const Record& first = left.second;
     const Record& second = right.second;
-    if (first.counted() != second.counted()) return first.counted() < second.counted();
-    return first.last() < second.last();
+    if (first.counted_crashes() != second.counted_crashes())
+      return first.counted_crashes() < second.counted_crashes();
+    return first.last_event_at() < second.last_event_at();
   };
-  records_.erase(std::min_element(records_.begin(), records_.end(), matters_less));
+  records_.erase(std::min_element(records_.begin(), records_.end(), evicted_first));
 }
 
 void RequestQuarantine::sweep(TimePoint now) {
   // A verdict that has run out stays as a suspicion for as long again.
   std::erase_if(records_, [&](const auto& entry) {
     const Record& record = entry.second;
-    const bool was_convicted = record.counted() >= options_.ends_to_convict;
-    return now >= record.last() + hold_of(record) * (was_convicted ? 2 : 1);
+    const bool was_over_threshold = record.counted_crashes() >= options_.crash_threshold;
+    return now >= record.last_event_at() + hold_duration(record) * (was_over_threshold ? 2 : 1);
   });
 }
 
--- a/src/gateway/quarantine/request_quarantine.h
+++ b/src/gateway/quarantine/request_quarantine.h
@@ -27,14 +27,14 @@
 
 #include "common/recent_set.h"
 #include "common/time.h"
-#include "gateway/quarantine/crash_news.h"
-#include "gateway/quarantine/crash_witness.h"
+#include "gateway/quarantine/crash_correlator.h"
+#include "gateway/quarantine/crash_update.h"
 #include "gateway/quarantine/request_fingerprint.h"
 
 namespace pumicemast {
 
 struct QuarantineOptions {
-  std::size_t ends_to_convict = 3;
+  std::size_t crash_threshold = 3;
   /// From the third end on, and twice as long with each further one. Then the request is run again,
   /// and one more end convicts again: one that is sent all day costs a few engines, and a wrong
   /// verdict heals by itself.
@@ -47,7 +47,7 @@
 /// A request in quarantine, for operators.
 struct QuarantinedRequest {
   RequestFingerprint request;
-  std::size_t ends = 0;
+  std::size_t crashes = 0;
   Duration held_for = Duration::zero();  ///< From now on.
 };
 
@@ -59,66 +59,66 @@
   /// Seen by this gateway.
   void on_crash(const BackendCrash& crash);
   /// An answer to the request was whole.
-  void on_ended_well(const RequestFingerprint& request, TimePoint now);
+  void on_completed(const RequestFingerprint& request, TimePoint now);
   /// Told by another gateway; what is new is told on.
   /// @return whether anything was.
-  bool on_told(const CrashNews& news, TimePoint now);
+  bool on_update(const CrashUpdate& update, TimePoint now);
 
   /// Ends of back ends under the request that speak against it.
-  std::size_t ends_under(const RequestFingerprint& request) const;
+  std::size_t crash_count(const RequestFingerprint& request) const;
   bool quarantined(const RequestFingerprint& request, TimePoint now) const;
   std::vector<QuarantinedRequest> list(TimePoint now) const;
   /// Requests that no verdict holds for: operators know better. The evidence is kept.
   void set_pardoned(std::set<RequestFingerprint> requests) { pardoned_ = std::move(requests); }
   void set_hold(Duration hold) { options_.hold = hold; }
-  std::size_t ends_to_convict() const { return options_.ends_to_convict; }
+  std::size_t crash_threshold() const { return options_.crash_threshold; }
 
   /// What has come since the last call, for other gateways.
-  CrashNews take_news(TimePoint now) { return news_.take(now); }
+  CrashUpdate take_update(TimePoint now) { return updates_.take(now); }
   /// Requests whose quarantine has begun since the last call.
-  std::vector<RequestFingerprint> take_convicted();
+  std::vector<RequestFingerprint> take_newly_quarantined();
   /// What a gateway that knows nothing is to be told: the evidence of the verdicts, of the newest
   /// where there are many.
-  CrashNews verdicts(TimePoint now) const;
+  CrashUpdate verdicts(TimePoint now) const;
   /// Differs where the verdicts do.
   std::uint64_t verdict_digest(TimePoint now) const;
   /// Forgets what has no weight any more. Call now and then.
   void sweep(TimePoint now);
 
  private:
-  struct SeenEnd {
-    BackendEnd end;
-    bool outlived = false;  ///< A whole answer came later: it does not count.
+  struct RecordedCrash {
+    CrashEvent event;
+    bool discounted = false;  ///< A whole answer came later: it does not count.
   };
   struct Record {
-    std::vector<SeenEnd> ends;  ///< In the order in which they became known.
+    std::vector<RecordedCrash> crashes;  ///< In the order in which they became known.
     /// Like the ends, it may lie before the clock of this machine began.
-    std::optional<TimePoint> acquitted_at;
+    std::optional<TimePoint> completed_at;
     /// Ends that no whole answer came after, and that are not one of a crowd's by themselves.
-    std::size_t counted() const;
+    std::size_t counted_crashes() const;
     /// Of all that is known.
-    TimePoint last() const;
+    TimePoint last_event_at() const;
   };
 
   /// @return whether it was not known before.
-  bool add_end(const RequestFingerprint& request, const BackendEnd& end);
+  bool add_crash(const RequestFingerprint& request, const CrashEvent& event);
   /// @return whether an end counted until now.
-  bool acquit(const RequestFingerprint& request, TimePoint at);
-  bool convicted(const Record& record, TimePoint now) const;
+  bool discount_crashes(const RequestFingerprint& request, TimePoint at);
+  bool over_threshold(const Record& record, TimePoint now) const;
   /// From the last end on.
-  Duration hold_of(const Record& record) const;
+  Duration hold_duration(const Record& record) const;
   void make_room();
 
   QuarantineOptions options_;
   TimePoint started_;
   /// From then on this process knows what ends well; none while it has not seen a whole answer.
-  std::optional<TimePoint> learnt_at_;
+  std::optional<TimePoint> warmed_up_at_;
   std::map<RequestFingerprint, Record> records_;
   std::set<RequestFingerprint> pardoned_;
   /// Requests that this gateway has seen to end well.
-  RecentSet<RequestFingerprint, RequestFingerprintHash> sound_;
-  CrashNewsQueue news_;
-  std::vector<RequestFingerprint> new_convicted_;
+  RecentSet<RequestFingerprint, RequestFingerprintHash> recently_completed_;
+  CrashUpdateQueue updates_;
+  std::vector<RequestFingerprint> newly_quarantined_;
 };
 
 }  // namespace pumicemast
--- a/src/gateway/quarantine/verdict_pull.h
+++ b/src/gateway/quarantine/verdict_pull.h
@@ -17,28 +17,29 @@
  public:
   /// A gateway told its digest; `own` is the digest here.
   /// @return whether to ask it now.
-  bool should_ask(std::uint64_t gateway, std::uint64_t theirs, std::uint64_t own, TimePoint now) {
-    if (theirs == own || theirs == 0) return false;
-    Asked& asked = asked_[gateway];
-    const bool changed = asked.theirs != theirs || asked.own != own;
-    if (changed) asked.pause = kFirstPause;
-    if (now < asked.at + asked.pause && asked.at != TimePoint{}) return false;
-    asked = {theirs, own, now, std::min(asked.pause * 2, kLongestPause)};
+  bool should_request(std::uint64_t gateway, std::uint64_t peer_digest, std::uint64_t own_digest,
+                      TimePoint now) {
+    if (peer_digest == own_digest || peer_digest == 0) return false;
+    LastRequest& last = last_requests_[gateway];
+    const bool changed = last.peer_digest != peer_digest || last.own_digest != own_digest;
+    if (changed) last.backoff = kInitialBackoff;
+    if (now < last.at + last.backoff && last.at != TimePoint{}) return false;
+    last = {peer_digest, own_digest, now, std::min(last.backoff * 2, kMaxBackoff)};
     return true;
   }
 
  private:
   /// Digests come twice a second: the answer is to have arrived by the next but one.
-  static constexpr Duration kFirstPause = milliseconds(900);
-  static constexpr Duration kLongestPause = seconds(120);
+  static constexpr Duration kInitialBackoff = milliseconds(900);
+  static constexpr Duration kMaxBackoff = seconds(120);
 
-  struct Asked {
-    std::uint64_t theirs = 0;
-    std::uint64_t own = 0;
+  struct LastRequest {
+    std::uint64_t peer_digest = 0;
+    std::uint64_t own_digest = 0;
     TimePoint at{};
-    Duration pause = kFirstPause;
+    Duration backoff = kInitialBackoff;
   };
-  std::map<std::uint64_t, Asked> asked_;
+  std::map<std::uint64_t, LastRequest> last_requests_;
 };
 
 }  // namespace pumicemast
--- a/src/gateway/requests/request_forwarder.cpp
+++ b/src/gateway/requests/request_forwarder.cpp
@@ -163,7 +163,7 @@
 
 void RequestForwarder::note_cut_off(const RequestSession& session, TimePoint now,
                                     ForwarderActions& actions) {
-  crash_witness_.on_cut_off(session.backend_life, session.fingerprint, now);
+  crash_correlator_.on_answer_interrupted(session.backend_life, session.fingerprint, now);
   // The agent beside an engine tells of its end; nobody does for a plain service.
   if (!session.service->engine) {
     actions.emplace_back(ProbeBackend{session.backend, session.backend_address});
@@ -171,19 +171,19 @@
 }
 
 void RequestForwarder::on_backend_ended(const std::string& backend, TimePoint now) {
-  crash_witness_.on_ended(backend, now);
+  crash_correlator_.on_process_exit(backend, now);
 }
 
 std::vector<BackendCrash> RequestForwarder::take_crashes(TimePoint now) {
-  std::vector<BackendCrash> crashes = crash_witness_.take_crashes(now);
+  std::vector<BackendCrash> crashes = crash_correlator_.take_crashes(now);
   for (const BackendCrash& crash : crashes) quarantine_.on_crash(crash);
   return crashes;
 }
 
 bool RequestForwarder::may_end_another(const RequestSession& session, TimePoint now) const {
   if (quarantine_.quarantined(session.fingerprint, now)) return true;
-  if (!crash_witness_.awaits(session.fingerprint, now)) return false;
-  return quarantine_.ends_under(session.fingerprint) + 1 >= quarantine_.ends_to_convict();
+  if (!crash_correlator_.awaits_confirmation(session.fingerprint, now)) return false;
+  return quarantine_.crash_count(session.fingerprint) + 1 >= quarantine_.crash_threshold();
 }
 
 void RequestForwarder::on_connected(RequestNumber number) {
@@ -237,7 +237,7 @@
     return;
   }
   // Whatever it answered, it has run the request and lives.
-  quarantine_.on_ended_well(session.fingerprint, now);
+  quarantine_.on_completed(session.fingerprint, now);
   if (session.stream_begun && !session.events) {
     // A resumption that failed: its answer is not part of the stream.
     session.may_have_run = true;
--- a/src/gateway/requests/request_forwarder.h
+++ b/src/gateway/requests/request_forwarder.h
@@ -24,7 +24,7 @@
 #include "common/time.h"
 #include "gateway/backends/backend_pool.h"
 #include "gateway/backends/weight_targets.h"
-#include "gateway/quarantine/crash_witness.h"
+#include "gateway/quarantine/crash_correlator.h"
 #include "gateway/quarantine/request_quarantine.h"
 #include "gateway/requests/answer_relay.h"
 #include "gateway/requests/attempt_watch.h"
@@ -95,7 +95,7 @@
   /// returns them. Call often.
   std::vector<BackendCrash> take_crashes(TimePoint now);
   /// Forgets what is of no use any more. Call now and then.
-  void sweep(TimePoint now) { crash_witness_.sweep(now); }
+  void sweep(TimePoint now) { crash_correlator_.sweep(now); }
   /// Requests that ended since the last call.
   std::vector<RequestSummary> take_summaries();
 
@@ -180,7 +180,7 @@
   std::set<WaitingRank> waiting_;
   OverloadWatch overload_;
   RetryBudgets retries_;
-  CrashWitness crash_witness_;
+  CrashCorrelator crash_correlator_;
   std::vector<RequestSummary> summaries_;
   RequestAuthorizer authorizer_;
   ForwarderCounters counters_;
--- a/tests/fuzz/bad_bytes_test.cpp
+++ b/tests/fuzz/bad_bytes_test.cpp
@@ -136,9 +136,9 @@
                                            bytes.size());
   reader.consume(view, [&](const wire::Frame& frame) {
     const auto* message = frame.body_as_RequestCrashes();
-    if (message != nullptr) quarantine.on_told(decode(*message), now);
+    if (message != nullptr) quarantine.on_update(decode(*message), now);
   });
-  quarantine.take_news(now);
+  quarantine.take_update(now);
   quarantine.sweep(now);
 }
 
@@ -248,7 +248,7 @@
   }
 
   void crash_news() {
-    const CrashNews news{
+    const CrashUpdate news{
         {{5, milliseconds(120), {{1, 2}, {3, 4}}, true}, {6, seconds(5), {{3, 4}}}},
         {{{1, 2}, milliseconds(7)}}};
     const EncodedFrame frame = encode_frame(encode(news));
--- a/tests/gateway/peers/fleet_links_agents_test.cpp
+++ b/tests/gateway/peers/fleet_links_agents_test.cpp
@@ -25,8 +25,8 @@
   void on_backend_changes(PeerId, const BackendChanges&) override {}
   void on_list_revision_told(PeerId, std::uint64_t) override {}
   BackendChanges own_backend_list(ListScope) override { return {}; }
-  void on_crash_news(const CrashNews&) override {}
-  CrashNews own_verdicts() override { return {}; }
+  void on_crash_news(const CrashUpdate&) override {}
+  CrashUpdate own_verdicts() override { return {}; }
   void on_permit_request(PeerId, const PermitRequest&) override {}
   void on_permit_answer(PeerId, const PermitAnswer&) override {}
   GatewayKnowledge own_knowledge() override {
--- a/tests/gateway/quarantine/request_quarantine_test.cpp
+++ b/tests/gateway/quarantine/request_quarantine_test.cpp
@@ -15,84 +15,84 @@
 
 class RequestQuarantineTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RequestQuarantineTest);
-  CPPUNIT_TEST(three_ends_of_back_ends_convict);
-  CPPUNIT_TEST(one_end_seen_by_many_counts_once);
-  CPPUNIT_TEST(a_whole_answer_acquits);
-  CPPUNIT_TEST(a_request_that_many_send_is_not_convicted_by_ends_between_its_answers);
-  CPPUNIT_TEST(an_end_in_a_crowd_counts_only_beside_another);
-  CPPUNIT_TEST(of_a_gateway_that_just_started_no_end_in_a_crowd_counts);
-  CPPUNIT_TEST(an_end_that_turns_out_to_be_one_of_a_crowd_is_told_so);
-  CPPUNIT_TEST(after_the_hold_one_more_end_convicts);
-  CPPUNIT_TEST(a_request_that_many_send_is_under_every_end_and_is_no_suspect);
-  CPPUNIT_TEST(a_pardon_frees_at_once);
-  CPPUNIT_TEST(gateways_agree_in_whatever_order_they_hear);
-  CPPUNIT_TEST(a_machine_that_was_just_started_takes_verdicts_older_than_its_clock);
-  CPPUNIT_TEST(acquittals_are_told_on_once);
-  CPPUNIT_TEST(news_goes_over_the_wire_unchanged);
-  CPPUNIT_TEST(who_matters_least_is_forgotten_first);
-  CPPUNIT_TEST(differing_verdicts_are_asked_for_ever_more_rarely);
-  CPPUNIT_TEST(a_request_in_quarantine_is_refused_at_once_as_not_run);
-  CPPUNIT_TEST(an_attempt_that_has_not_begun_is_taken_back_at_the_verdict);
-  CPPUNIT_TEST(what_may_have_ended_a_third_back_end_is_not_sent_again);
-  CPPUNIT_TEST(ends_of_plain_services_are_probed_for);
+  CPPUNIT_TEST(three_crashes_quarantine_a_request);
+  CPPUNIT_TEST(one_crash_seen_by_many_counts_once);
+  CPPUNIT_TEST(a_complete_answer_discounts_earlier_crashes);
+  CPPUNIT_TEST(a_popular_request_is_not_quarantined_by_crashes_between_its_answers);
+  CPPUNIT_TEST(a_crash_in_a_burst_counts_only_beside_another);
+  CPPUNIT_TEST(a_burst_seen_by_a_gateway_that_is_warming_up_does_not_count);
+  CPPUNIT_TEST(a_crash_that_turns_out_to_be_in_a_burst_is_reported_so);
+  CPPUNIT_TEST(after_the_hold_one_more_crash_quarantines_again);
+  CPPUNIT_TEST(a_popular_request_that_completed_recently_is_not_blamed);
+  CPPUNIT_TEST(a_pardon_takes_effect_at_once);
+  CPPUNIT_TEST(gateways_agree_in_any_order_of_updates);
+  CPPUNIT_TEST(a_machine_that_just_booted_accepts_verdicts_older_than_its_clock);
+  CPPUNIT_TEST(completions_are_passed_on_once);
+  CPPUNIT_TEST(crash_updates_survive_encoding_and_decoding);
+  CPPUNIT_TEST(the_requests_with_the_fewest_crashes_are_evicted_first);
+  CPPUNIT_TEST(differing_verdicts_are_requested_with_growing_intervals);
+  CPPUNIT_TEST(a_quarantined_request_is_refused_at_once_as_not_run);
+  CPPUNIT_TEST(an_attempt_that_has_not_begun_is_cancelled_when_the_request_is_quarantined);
+  CPPUNIT_TEST(a_request_that_may_have_crashed_a_third_back_end_is_not_sent_again);
+  CPPUNIT_TEST(exits_of_plain_services_are_probed_for);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void three_ends_of_back_ends_convict() {
-    end("e1");
-    end("e2");
+  void three_crashes_quarantine_a_request() {
+    crash("e1");
+    crash("e2");
     CPPUNIT_ASSERT(!quarantine_.quarantined(kRequest, now_));
-    end("e3");
+    crash("e3");
     CPPUNIT_ASSERT(quarantine_.quarantined(kRequest, now_));
     CPPUNIT_ASSERT(!quarantine_.quarantined(kOther, now_));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, quarantine_.take_convicted().size());
-    CPPUNIT_ASSERT(quarantine_.take_convicted().empty());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, quarantine_.take_newly_quarantined().size());
+    CPPUNIT_ASSERT(quarantine_.take_newly_quarantined().empty());
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, quarantine_.list(now_).size());
   }
 
-  void one_end_seen_by_many_counts_once() {
+  void one_crash_seen_by_many_counts_once() {
     for (int seen = 0; seen < 3; ++seen) {
       now_ += milliseconds(400);
-      end("e1");
+      crash("e1");
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, quarantine_.ends_under(kRequest));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, quarantine_.crash_count(kRequest));
     // The same id again, started anew: another end.
     quarantine_.on_crash({{"e1", 2000}, now_, {kRequest}});
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, quarantine_.ends_under(kRequest));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, quarantine_.crash_count(kRequest));
   }
 
-  void a_whole_answer_acquits() {
-    end("e1");
-    end("e2");
+  void a_complete_answer_discounts_earlier_crashes() {
+    crash("e1");
+    crash("e2");
     now_ += seconds(1);
-    quarantine_.on_ended_well(kRequest, now_);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, quarantine_.ends_under(kRequest));
+    quarantine_.on_completed(kRequest, now_);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, quarantine_.crash_count(kRequest));
     // Told late of what was outlived.
-    quarantine_.on_told({{{7, seconds(2), {kRequest}}}, {}}, now_);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, quarantine_.ends_under(kRequest));
+    quarantine_.on_update({{{7, seconds(2), {kRequest}}}, {}}, now_);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, quarantine_.crash_count(kRequest));
     now_ += seconds(1);
     now_ += seconds(30);
-    end("e3");
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, quarantine_.ends_under(kRequest));
+    crash("e3");
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, quarantine_.crash_count(kRequest));
   }
 
-  void a_request_that_many_send_is_not_convicted_by_ends_between_its_answers() {
+  void a_popular_request_is_not_quarantined_by_crashes_between_its_answers() {
     for (int round = 0; round < 50; ++round) {
-      end("e" + std::to_string(round));
+      crash("e" + std::to_string(round));
       now_ += milliseconds(100);
-      quarantine_.on_ended_well(kRequest, now_);
+      quarantine_.on_completed(kRequest, now_);
       now_ += milliseconds(100);
     }
     CPPUNIT_ASSERT(!quarantine_.quarantined(kRequest, now_));
-    CPPUNIT_ASSERT(quarantine_.take_convicted().empty());
+    CPPUNIT_ASSERT(quarantine_.take_newly_quarantined().empty());
   }
 
-  void an_end_in_a_crowd_counts_only_beside_another() {
+  void a_crash_in_a_burst_counts_only_beside_another() {
     for (const char* backend : {"e1", "e2", "e3", "e4"}) {
       quarantine_.on_crash({{backend, 1}, now_, {kRequest}, true});
       now_ += seconds(2);
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, quarantine_.ends_under(kRequest));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, quarantine_.crash_count(kRequest));
     // It was under several ends of one crowd: it may well have made it.
     for (const char* backend : {"f1", "f2", "f3"}) {
       quarantine_.on_crash({{backend, 1}, now_, {kRequest}, true});
@@ -101,21 +101,21 @@
     CPPUNIT_ASSERT(quarantine_.quarantined(kRequest, now_));
   }
 
-  void of_a_gateway_that_just_started_no_end_in_a_crowd_counts() {
-    RequestQuarantine newcomer({}, now_ - milliseconds(100));
+  void a_burst_seen_by_a_gateway_that_is_warming_up_does_not_count() {
+    RequestQuarantine warming_up({}, now_ - milliseconds(100));
     for (const char* backend : {"e1", "e2", "e3"}) {
-      newcomer.on_crash({{backend, 1000}, now_, {kRequest}, true});
+      warming_up.on_crash({{backend, 1000}, now_, {kRequest}, true});
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, newcomer.ends_under(kRequest));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, warming_up.crash_count(kRequest));
     // Nor where it is told; what an older gateway has seen of the same ends counts there.
-    quarantine_.on_told(newcomer.take_news(now_), now_);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, quarantine_.ends_under(kRequest));
+    quarantine_.on_update(warming_up.take_update(now_), now_);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, quarantine_.crash_count(kRequest));
     for (const char* backend : {"e1", "e2", "e3"}) {
       quarantine_.on_crash({{backend, 1000}, now_, {kRequest}, true});
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, quarantine_.ends_under(kRequest));
-    newcomer.on_told(quarantine_.take_news(now_), now_);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, newcomer.ends_under(kRequest));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, quarantine_.crash_count(kRequest));
+    warming_up.on_update(quarantine_.take_update(now_), now_);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, warming_up.crash_count(kRequest));
     // Ends that are no crowd count at once.
     RequestQuarantine another({}, now_);
     for (const char* backend : {"e1", "e2", "e3"}) {
@@ -126,45 +126,45 @@
 
   // Other gateways were told of an end twice in one message, alone and in a crowd, and the first
   // word of it held.
-  void an_end_that_turns_out_to_be_one_of_a_crowd_is_told_so() {
-    end("e1");
+  void a_crash_that_turns_out_to_be_in_a_burst_is_reported_so() {
+    crash("e1");
     quarantine_.on_crash({{"e1", 1000}, now_, {kRequest}, true});
-    const CrashNews news = quarantine_.take_news(now_);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, news.crashes.size());
-    CPPUNIT_ASSERT(news.crashes[0].in_crowd);
+    const CrashUpdate update = quarantine_.take_update(now_);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, update.crashes.size());
+    CPPUNIT_ASSERT(update.crashes[0].in_burst);
   }
 
-  void after_the_hold_one_more_end_convicts() {
-    convict();
+  void after_the_hold_one_more_crash_quarantines_again() {
+    quarantine_request();
     now_ += seconds(599);
     CPPUNIT_ASSERT(quarantine_.quarantined(kRequest, now_));
     now_ += seconds(1);
     quarantine_.sweep(now_);
     CPPUNIT_ASSERT(!quarantine_.quarantined(kRequest, now_));
-    end("e4");
+    crash("e4");
     now_ += seconds(1199);  // Twice as long now.
     CPPUNIT_ASSERT(quarantine_.quarantined(kRequest, now_));
     now_ += seconds(1);
     CPPUNIT_ASSERT(!quarantine_.quarantined(kRequest, now_));
     now_ += seconds(1200);
     quarantine_.sweep(now_);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, quarantine_.ends_under(kRequest));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, quarantine_.crash_count(kRequest));
   }
 
   // Many callers send it, so that it is under way at all engines that another request ends.
-  void a_request_that_many_send_is_under_every_end_and_is_no_suspect() {
-    quarantine_.on_ended_well(kRequest, now_);
+  void a_popular_request_that_completed_recently_is_not_blamed() {
+    quarantine_.on_completed(kRequest, now_);
     now_ += seconds(1);
-    convict();
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, quarantine_.ends_under(kRequest));
+    quarantine_request();
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, quarantine_.crash_count(kRequest));
     // No answer was whole for long: it may have become one, with new weights.
     now_ += seconds(30);
-    convict();
+    quarantine_request();
     CPPUNIT_ASSERT(quarantine_.quarantined(kRequest, now_));
   }
 
-  void a_pardon_frees_at_once() {
-    convict();
+  void a_pardon_takes_effect_at_once() {
+    quarantine_request();
     const std::uint64_t digest = quarantine_.verdict_digest(now_);
     quarantine_.set_pardoned({kRequest});
     CPPUNIT_ASSERT(!quarantine_.quarantined(kRequest, now_));
@@ -174,110 +174,112 @@
     CPPUNIT_ASSERT(quarantine_.quarantined(kRequest, now_));
   }
 
-  void gateways_agree_in_whatever_order_they_hear() {
+  void gateways_agree_in_any_order_of_updates() {
     std::minstd_rand random(1);
     for (int round = 0; round < 200; ++round) {
-      std::vector<CrashNews> told;
+      std::vector<CrashUpdate> updates;
       for (std::uint64_t backend = 1; backend <= 5; ++backend) {
         const auto request = backend % 2 == 0 ? kRequest : kOther;
-        told.push_back({{{backend, seconds(static_cast<std::int64_t>(backend)), {request}}}, {}});
-        told.push_back(told.back());
+        updates.push_back(
+            {{{backend, seconds(static_cast<std::int64_t>(backend)), {request}}}, {}});
+        updates.push_back(updates.back());
       }
-      told.push_back({{{9, seconds(1), {kOther}}}, {}});
-      told.push_back({{}, {{kRequest, seconds(3)}}});
+      updates.push_back({{{9, seconds(1), {kOther}}}, {}});
+      updates.push_back({{}, {{kRequest, seconds(3)}}});
       RequestQuarantine first;
       RequestQuarantine second;
-      std::shuffle(told.begin(), told.end(), random);
-      for (const CrashNews& news : told) first.on_told(news, now_);
-      std::shuffle(told.begin(), told.end(), random);
-      for (const CrashNews& news : told) second.on_told(news, now_);
+      std::shuffle(updates.begin(), updates.end(), random);
+      for (const CrashUpdate& update : updates) first.on_update(update, now_);
+      std::shuffle(updates.begin(), updates.end(), random);
+      for (const CrashUpdate& update : updates) second.on_update(update, now_);
       CPPUNIT_ASSERT_EQUAL(first.verdict_digest(now_), second.verdict_digest(now_));
       CPPUNIT_ASSERT(first.quarantined(kOther, now_));
-      CPPUNIT_ASSERT_EQUAL(std::size_t{1}, first.ends_under(kRequest));
-      CPPUNIT_ASSERT_EQUAL(std::size_t{1}, second.ends_under(kRequest));
+      CPPUNIT_ASSERT_EQUAL(std::size_t{1}, first.crash_count(kRequest));
+      CPPUNIT_ASSERT_EQUAL(std::size_t{1}, second.crash_count(kRequest));
     }
   }
 
   // Ages are told, and the clock of a machine counts from its start.
-  void a_machine_that_was_just_started_takes_verdicts_older_than_its_clock() {
+  void a_machine_that_just_booted_accepts_verdicts_older_than_its_clock() {
     const TimePoint just_started{seconds(2)};
     RequestQuarantine started;
     for (std::uint64_t backend = 1; backend <= 3; ++backend) {
-      started.on_told({{{backend, seconds(60), {kRequest}}}, {}}, just_started);
+      started.on_update({{{backend, seconds(60), {kRequest}}}, {}}, just_started);
     }
     CPPUNIT_ASSERT(started.quarantined(kRequest, just_started));
     CPPUNIT_ASSERT(started.quarantined(kRequest, just_started + seconds(539)));
     CPPUNIT_ASSERT(!started.quarantined(kRequest, just_started + seconds(540)));
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, started.verdicts(just_started).crashes.size());
-    started.on_told({{}, {{kRequest, seconds(30)}}}, just_started);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, started.ends_under(kRequest));
+    started.on_update({{}, {{kRequest, seconds(30)}}}, just_started);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, started.crash_count(kRequest));
   }
 
-  void acquittals_are_told_on_once() {
-    end("e1");
-    quarantine_.take_news(now_);
+  void completions_are_passed_on_once() {
+    crash("e1");
+    quarantine_.take_update(now_);
     now_ += seconds(1);
-    quarantine_.on_ended_well(kRequest, now_);
-    const CrashNews news = quarantine_.take_news(now_);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, news.acquittals.size());
+    quarantine_.on_completed(kRequest, now_);
+    const CrashUpdate update = quarantine_.take_update(now_);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, update.completions.size());
     // It comes back by way of others, some milliseconds older.
     for (int echo = 0; echo < 5; ++echo) {
       now_ += milliseconds(20);
-      CPPUNIT_ASSERT(!quarantine_.on_told(news, now_));
-      CPPUNIT_ASSERT(quarantine_.take_news(now_).empty());
+      CPPUNIT_ASSERT(!quarantine_.on_update(update, now_));
+      CPPUNIT_ASSERT(quarantine_.take_update(now_).empty());
     }
   }
 
-  void news_goes_over_the_wire_unchanged() {
-    const CrashNews news{{{5, milliseconds(120), {kRequest, kOther}}, {6, seconds(5), {kOther}}},
-                         {{kRequest, milliseconds(7)}}};
-    const wire::RequestCrashesT encoded = encode(news);
+  void crash_updates_survive_encoding_and_decoding() {
+    const CrashUpdate update{
+        {{5, milliseconds(120), {kRequest, kOther}}, {6, seconds(5), {kOther}}},
+        {{kRequest, milliseconds(7)}}};
+    const wire::RequestCrashesT encoded = encode(update);
     flatbuffers::FlatBufferBuilder builder;
     builder.Finish(wire::RequestCrashes::Pack(builder, &encoded));
     const auto* message = flatbuffers::GetRoot<wire::RequestCrashes>(builder.GetBufferPointer());
-    const CrashNews decoded = decode(*message);
+    const CrashUpdate decoded = decode(*message);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, decoded.crashes.size());
-    CPPUNIT_ASSERT(decoded.crashes[0].requests == news.crashes[0].requests);
+    CPPUNIT_ASSERT(decoded.crashes[0].requests == update.crashes[0].requests);
     CPPUNIT_ASSERT(decoded.crashes[0].age == milliseconds(120));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, decoded.crashes[1].backend);
-    CPPUNIT_ASSERT(decoded.acquittals.at(0).request == kRequest);
-    CPPUNIT_ASSERT(decoded.acquittals.at(0).age == milliseconds(7));
+    CPPUNIT_ASSERT(decoded.completions.at(0).request == kRequest);
+    CPPUNIT_ASSERT(decoded.completions.at(0).age == milliseconds(7));
   }
 
-  void who_matters_least_is_forgotten_first() {
+  void the_requests_with_the_fewest_crashes_are_evicted_first() {
     QuarantineOptions options;
     options.capacity = 3;
     RequestQuarantine small(options);
-    const auto end_under = [&](std::uint64_t request, const char* backend) {
+    const auto crash_under = [&](std::uint64_t request, const char* backend) {
       now_ += seconds(1);
       small.on_crash({{backend, 1}, now_, {{request, request}}});
     };
-    for (const char* backend : {"e1", "e2", "e3"}) end_under(1, backend);
-    end_under(2, "e1");
-    end_under(2, "e2");
-    for (std::uint64_t request = 3; request < 10; ++request) end_under(request, "e5");
+    for (const char* backend : {"e1", "e2", "e3"}) crash_under(1, backend);
+    crash_under(2, "e1");
+    crash_under(2, "e2");
+    for (std::uint64_t request = 3; request < 10; ++request) crash_under(request, "e5");
     CPPUNIT_ASSERT(small.quarantined({1, 1}, now_));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, small.ends_under({2, 2}));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, small.ends_under({8, 8}));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, small.ends_under({9, 9}));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, small.crash_count({2, 2}));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, small.crash_count({8, 8}));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, small.crash_count({9, 9}));
   }
 
-  void differing_verdicts_are_asked_for_ever_more_rarely() {
+  void differing_verdicts_are_requested_with_growing_intervals() {
     VerdictPull pull;
-    CPPUNIT_ASSERT(!pull.should_ask(1, 5, 5, now_));
-    CPPUNIT_ASSERT(!pull.should_ask(1, 0, 5, now_));
-    int asked = 0;
+    CPPUNIT_ASSERT(!pull.should_request(1, 5, 5, now_));
+    CPPUNIT_ASSERT(!pull.should_request(1, 0, 5, now_));
+    int requested = 0;
     for (int tell = 0; tell < 1200; ++tell, now_ += milliseconds(500)) {
-      asked += pull.should_ask(1, 5, 6, now_) ? 1 : 0;
+      requested += pull.should_request(1, 5, 6, now_) ? 1 : 0;
     }
-    CPPUNIT_ASSERT(asked >= 8 && asked <= 14);  // In ten minutes.
-    CPPUNIT_ASSERT(pull.should_ask(1, 7, 6, now_));
+    CPPUNIT_ASSERT(requested >= 8 && requested <= 14);  // In ten minutes.
+    CPPUNIT_ASSERT(pull.should_request(1, 7, 6, now_));
   }
 
-  void a_request_in_quarantine_is_refused_at_once_as_not_run() {
+  void a_quarantined_request_is_refused_at_once_as_not_run() {
     GatewayWorld world;
     world.add_engines();
-    const RequestFingerprint request = convict_in(world);
+    const RequestFingerprint request = quarantine_in(world);
     world.ask("/chat/1");
     CPPUNIT_ASSERT_EQUAL(503, world.refused_with());
     CPPUNIT_ASSERT(world.first<RefuseCaller>()->reason == RefusalReason::quarantined);
@@ -290,14 +292,14 @@
     CPPUNIT_ASSERT(!world.sent_to().empty());
   }
 
-  void an_attempt_that_has_not_begun_is_taken_back_at_the_verdict() {
+  void an_attempt_that_has_not_begun_is_cancelled_when_the_request_is_quarantined() {
     GatewayWorld world;
     world.add_engines();
     const RequestNumber waiting = world.ask("/chat/1");
     const RequestNumber begun = world.ask("/chat/1");
     world.head(begun, 200, false, true);
     world.body(begun, "id: 1\ndata: x\n\n");
-    convict_in(world);
+    quarantine_in(world);
     world.tick(milliseconds(25));
     CPPUNIT_ASSERT(world.first<CancelAttempt>() != nullptr);
     CPPUNIT_ASSERT_EQUAL(waiting, world.first<CancelAttempt>()->request);
@@ -312,7 +314,7 @@
     CPPUNIT_ASSERT(!world.sent_to().empty());
   }
 
-  void what_may_have_ended_a_third_back_end_is_not_sent_again() {
+  void a_request_that_may_have_crashed_a_third_back_end_is_not_sent_again() {
     GatewayWorld world;
     world.add_engines();
     const RequestFingerprint request = fingerprint("/chat/1");
@@ -327,7 +329,7 @@
     CPPUNIT_ASSERT_EQUAL(502, world.refused_with());
   }
 
-  void ends_of_plain_services_are_probed_for() {
+  void exits_of_plain_services_are_probed_for() {
     GatewayWorld world;
     world.configure();
     world.add_backend("p1", "plain", 7);
@@ -339,24 +341,24 @@
     world.forwarder.on_backend_ended("p1", world.now);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1},
                          world.forwarder.take_crashes(world.now + seconds(1)).size());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world.quarantine.ends_under(fingerprint("/write/1")));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world.quarantine.crash_count(fingerprint("/write/1")));
   }
 
  private:
   static constexpr RequestFingerprint kRequest{1, 1};
   static constexpr RequestFingerprint kOther{2, 2};
 
-  void end(const std::string& backend) {
+  void crash(const std::string& backend) {
     quarantine_.on_crash({{backend, 1000}, now_, {kRequest}});
   }
-  void convict() {
-    for (const char* backend : {"e1", "e2", "e3"}) end(backend);
+  void quarantine_request() {
+    for (const char* backend : {"e1", "e2", "e3"}) crash(backend);
   }
   /// Of what GatewayWorld asks there.
   static RequestFingerprint fingerprint(const std::string& target) {
     return fingerprint_for(fingerprint_content("POST", "api.example", target, ""), "acme");
   }
-  static RequestFingerprint convict_in(GatewayWorld& world) {
+  static RequestFingerprint quarantine_in(GatewayWorld& world) {
     const RequestFingerprint request = fingerprint("/chat/1");
     for (const char* backend : {"x1", "x2", "x3"}) {
       world.quarantine.on_crash({{backend, 1}, world.now, {request}});
--- a/tests/gateway/requests/crash_containment_test.cpp
+++ b/tests/gateway/requests/crash_containment_test.cpp
@@ -259,7 +259,7 @@
         quarantine.on_crash({backend, now, {{request, request}}});
       }
       now += milliseconds(10);
-      for (const ToldCrash& crash : quarantine.take_news(now).crashes)
+      for (const ReportedCrash& crash : quarantine.take_update(now).crashes)
         told += crash.requests.size();
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{4096}, quarantine.list(now).size());
--- a/tests/support/crash_world.cpp
+++ b/tests/support/crash_world.cpp
@@ -188,10 +188,10 @@
   const std::vector<Message> due = std::move(messages_);
   messages_.clear();
   for (const Message& message : due) {
-    gateways_[message.to]->quarantine.on_told(message.news, now_);
+    gateways_[message.to]->quarantine.on_update(message.news, now_);
   }
   for (std::size_t from = 0; from < gateways_.size(); ++from) {
-    const CrashNews news = gateways_[from]->quarantine.take_news(now_);
+    const CrashUpdate news = gateways_[from]->quarantine.take_update(now_);
     if (news.empty()) continue;
     for (const std::size_t to : gateways_told(from)) send(from, to, news);
   }
@@ -207,12 +207,12 @@
   return told;
 }
 
-void CrashWorld::send(std::size_t from, std::size_t to, const CrashNews& news) {
+void CrashWorld::send(std::size_t from, std::size_t to, const CrashUpdate& news) {
   if (cut_off_.contains(from) || cut_off_.contains(to)) return;
-  for (const ToldCrash& crash : news.crashes) {
+  for (const ReportedCrash& crash : news.crashes) {
     bytes_told_ += kBytesPerTold + kBytesPerRequest * crash.requests.size();
   }
-  bytes_told_ += kBytesPerTold * news.acquittals.size();
+  bytes_told_ += kBytesPerTold * news.completions.size();
   messages_.push_back({to, news});
 }
 
--- a/tests/support/crash_world.h
+++ b/tests/support/crash_world.h
@@ -104,7 +104,7 @@
   struct Gateway;
   struct Message {
     std::size_t to = 0;
-    CrashNews news;
+    CrashUpdate news;
   };
   struct Return {
     TimePoint at{};
@@ -117,7 +117,7 @@
   /// What a gateway tells arrives with the next step.
   void exchange_news();
   std::vector<std::size_t> gateways_told(std::size_t from);
-  void send(std::size_t from, std::size_t to, const CrashNews& news);
+  void send(std::size_t from, std::size_t to, const CrashUpdate& news);
   void compare_verdicts();
   void ask_ordinary();
   void come_again();
