--- a/src/gateway/backends/backend_limits.cpp
+++ b/src/gateway/backends/backend_limits.cpp
@@ -21,15 +21,15 @@
   return "unknown";
 }
 
-void BackendLimits::on_answer(const std::string& backend, const StatedRateLimit& stated,
-                              bool served, TimePoint asked_at, TimePoint now) {
+void BackendLimits::on_response(const std::string& backend, const StatedRateLimit& stated,
+                                bool served, TimePoint asked_at, TimePoint now) {
   if (!stated.readable) {
     ++unreadable_;
     return;
   }
   if (stated.per_second) {
     update_limit(backend, {stated.per_second, now}, LimitSource::answer);
-    beliefs_[backend].confirm(now);
+    trackers_[backend].confirm(now);
     return;
   }
   const RateLimit known = limit_of(backend);
@@ -46,19 +46,19 @@
 
 void BackendLimits::update_limit(const std::string& backend, const RateLimit& limit,
                                  LimitSource source) {
-  if (!limit.named() && !beliefs_.contains(backend)) return;
-  if (beliefs_[backend].on_observed(limit)) changes_.push_back({backend, limit, source});
+  if (!limit.named() && !trackers_.contains(backend)) return;
+  if (trackers_[backend].on_observed(limit)) changes_.push_back({backend, limit, source});
 }
 
 RateLimit BackendLimits::limit_of(const std::string& backend) const {
-  const auto found = beliefs_.find(backend);
-  return found == beliefs_.end() ? RateLimit{} : found->second.limit();
+  const auto found = trackers_.find(backend);
+  return found == trackers_.end() ? RateLimit{} : found->second.limit();
 }
 
 std::vector<std::string> BackendLimits::limited() const {
   std::vector<std::string> backends;
-  for (const auto& [backend, belief] : beliefs_) {
-    if (belief.limit().named()) backends.push_back(backend);
+  for (const auto& [backend, tracker] : trackers_) {
+    if (tracker.limit().named()) backends.push_back(backend);
   }
   return backends;
 }
--- a/src/gateway/backends/backend_pool.cpp
+++ b/src/gateway/backends/backend_pool.cpp
@@ -5,8 +5,8 @@
 namespace pumicemast {
 namespace {
 
-constexpr std::size_t kMaxRememberedDepartures = 64;
-constexpr std::size_t kMaxIdleConnections = 24;
+constexpr std::size_t kMaximumRememberedDepartures = 64;
+constexpr std::size_t kMaximumIdleConnections = 24;
 
 /// Whether the engine's process has ended between two reports of one agent.
 bool has_process_ended(const LoadReport& before, const LoadReport& after) {
@@ -33,7 +33,7 @@
     return;
   }
   departure_order_.push_back({id, revision});
-  if (departure_order_.size() <= kMaxRememberedDepartures) return;
+  if (departure_order_.size() <= kMaximumRememberedDepartures) return;
   departures_.erase(departure_order_.front().id);
   departure_order_.pop_front();
 }
@@ -49,7 +49,7 @@
   // The list's revision tells which entry is newer: a clock that was set back makes a later start
   // look earlier.
   if (record.started_at_ms != backend.record.started_at_ms) {
-    reset_for_new_process(backend);
+    reset_for_new_incarnation(backend);
     limits_.forget(record.id);
     permits_.forget(record.id);
   }
@@ -64,7 +64,7 @@
   ids_by_address_[record.address] = record.id;
 }
 
-void BackendPool::reset_for_new_process(Backend& backend) {
+void BackendPool::reset_for_new_incarnation(Backend& backend) {
   // Its own requests still in flight end one by one, as on a lost connection.
   const std::uint32_t in_flight = backend.in_flight;
   backend = Backend{};
@@ -230,7 +230,7 @@
   return found == backends_.end() || found->second.record.draining || found->second.removed;
 }
 
-BackendLife BackendPool::life_of(const std::string& id) const {
+BackendLife BackendPool::incarnation_of(const std::string& id) const {
   const auto found = backends_.find(id);
   return {id, found == backends_.end() ? 0 : found->second.record.started_at_ms};
 }
@@ -296,7 +296,7 @@
 
 std::size_t BackendPool::max_idle_connections(const ServiceProfile& service) const {
   const double share = service.maximum_connections / std::max(1.0, options_.gateway_count);
-  return std::min(static_cast<std::size_t>(share), kMaxIdleConnections);
+  return std::min(static_cast<std::size_t>(share), kMaximumIdleConnections);
 }
 
 const BackendRecord* BackendPool::record_of(const std::string& id) const {
--- a/src/gateway/backends/backend_pool.h
+++ b/src/gateway/backends/backend_pool.h
@@ -133,7 +133,7 @@
   std::vector<PromptBacklog> take_changed_backlogs();
   bool leaving(const std::string& id) const;
   /// Of the process that has this id now, as the list tells.
-  BackendLife life_of(const std::string& id) const;
+  BackendLife incarnation_of(const std::string& id) const;
   /// Whether a back end of `service` holds weights of `lowest_version` or newer, with room or not.
   bool has_weights(const std::string& service, std::uint64_t lowest_version, TimePoint now) const;
   /// Its agent has said so lately.
@@ -181,7 +181,7 @@
   };
 
   Backend* find(const std::string& id);
-  static void reset_for_new_process(Backend& backend);
+  static void reset_for_new_incarnation(Backend& backend);
   void record_departure(const std::string& id, std::uint64_t revision);
   bool has_departed(const BackendRecord& record) const;
   bool usable(const Backend& backend, TimePoint now) const;
--- a/src/gateway/backends/weight_targets.cpp
+++ b/src/gateway/backends/weight_targets.cpp
@@ -7,7 +7,7 @@
 
 /// A version that was found late binds no sooner than this. Bringing it to the back ends takes
 /// as long on the usual deployments; binding at once would leave no room at all meanwhile.
-constexpr Duration kMinNotice = milliseconds(3000);
+constexpr Duration kMinimumNotice = milliseconds(3000);
 
 }  // namespace
 
@@ -29,7 +29,7 @@
 }
 
 TimePoint WeightTargets::assumed_named_at(Duration oldest, TimePoint now) const {
-  const Duration oldest_allowed = std::max(Duration::zero(), changeover_ - kMinNotice);
+  const Duration oldest_allowed = std::max(Duration::zero(), changeover_ - kMinimumNotice);
   return now - std::min(oldest, oldest_allowed);
 }
 
--- a/src/gateway/backends/weight_targets.h
+++ b/src/gateway/backends/weight_targets.h
@@ -38,7 +38,7 @@
                 bool assumed = false);
   /// When a version is taken to be named that was found now and named at most `oldest` ago: as
   /// early as can be, because requests must not begin on older ones beyond their time; but not so
-  /// early that back ends have no time to change over (kMinNotice).
+  /// early that back ends have no time to change over (kMinimumNotice).
   TimePoint assumed_named_at(Duration oldest, TimePoint now) const;
   /// How long ago the newest version was named; zero when there is none.
   Duration age(const std::string& model, TimePoint now) const;
--- a/src/gateway/peers/fleet_state.cpp
+++ b/src/gateway/peers/fleet_state.cpp
@@ -338,10 +338,10 @@
 
 std::vector<ToldLimit> FleetState::limits_to_tell() const {
   std::vector<ToldLimit> limits;
-  for (const auto& [backend, belief] : pool_.limits().beliefs()) {
+  for (const auto& [backend, belief] : pool_.limits().trackers()) {
     const BackendRecord* record = pool_.record_of(backend);
     if (record == nullptr || links_.agent_of(record->address)) continue;
-    limits.push_back({pool_.life_of(backend), belief.limit()});
+    limits.push_back({pool_.incarnation_of(backend), belief.limit()});
   }
   return limits;
 }
@@ -397,7 +397,7 @@
     note_weights(weights.model, weights.version, loop_now() - weights.age, weights.assumed);
   }
   for (const ToldLimit& told : knowledge.limits) {
-    if (pool_.life_of(told.backend.id) != told.backend) continue;
+    if (pool_.incarnation_of(told.backend.id) != told.backend) continue;
     pool_.limits().on_reported(told.backend.id, told.limit, LimitSource::gateway);
   }
   follow_limits();
--- a/src/gateway/quarantine/crash_correlator.cpp
+++ b/src/gateway/quarantine/crash_correlator.cpp
@@ -11,12 +11,12 @@
 /// Agents that ask their engines by turns tell of ends at one moment within such a span.
 constexpr Duration kBurstSpan = milliseconds(200);
 /// Fewer that end within the span are taken for a coincidence.
-constexpr std::ptrdiff_t kMinBurstSize = 3;
+constexpr std::ptrdiff_t kMinimumBurstSize = 3;
 
 }  // namespace
 
-void CrashCorrelator::on_answer_interrupted(const BackendLife& backend,
-                                            const RequestFingerprint& request, TimePoint now) {
+void CrashCorrelator::on_response_interrupted(const BackendLife& backend,
+                                              const RequestFingerprint& request, TimePoint now) {
   const auto exited = exited_.find(backend.id);
   if (exited != exited_.end() && now - exited->second <= kConfirmationTimeout) {
     unreported_.push_back({backend, exited->second, {request}});
@@ -30,7 +30,7 @@
   const auto found = interrupted_.find(backend);
   if (found == interrupted_.end()) return;
   BackendCrash crash{found->second.back().backend, now, {}};
-  for (const InterruptedAnswer& interrupted : found->second) {
+  for (const InterruptedResponse& interrupted : found->second) {
     if (now - interrupted.at <= kConfirmationTimeout) crash.requests.push_back(interrupted.request);
   }
   interrupted_.erase(found);
@@ -40,7 +40,7 @@
 bool CrashCorrelator::in_burst(TimePoint at) const {
   return std::count_if(exited_.begin(), exited_.end(), [&](const auto& entry) {
            return std::chrono::abs(entry.second - at) <= kBurstSpan;
-         }) >= kMinBurstSize;
+         }) >= kMinimumBurstSize;
 }
 
 std::vector<BackendCrash> CrashCorrelator::take_crashes(TimePoint now) {
@@ -63,7 +63,7 @@
 bool CrashCorrelator::awaits_confirmation(const RequestFingerprint& request, TimePoint now) const {
   return std::any_of(interrupted_.begin(), interrupted_.end(), [&](const auto& entry) {
     return std::any_of(
-        entry.second.begin(), entry.second.end(), [&](const InterruptedAnswer& interrupted) {
+        entry.second.begin(), entry.second.end(), [&](const InterruptedResponse& interrupted) {
           return interrupted.request == request && now - interrupted.at <= kConfirmationTimeout;
         });
   });
@@ -73,7 +73,7 @@
   std::erase_if(exited_,
                 [&](const auto& entry) { return now - entry.second > kConfirmationTimeout; });
   for (auto& [backend, attempts] : interrupted_) {
-    std::erase_if(attempts, [&](const InterruptedAnswer& interrupted) {
+    std::erase_if(attempts, [&](const InterruptedResponse& interrupted) {
       return now - interrupted.at > kConfirmationTimeout;
     });
   }
--- a/src/gateway/quarantine/crash_correlator.h
+++ b/src/gateway/quarantine/crash_correlator.h
@@ -29,8 +29,8 @@
 class CrashCorrelator {
  public:
   /// The attempt of a request broke off before its answer was whole.
-  void on_answer_interrupted(const BackendLife& backend, const RequestFingerprint& request,
-                             TimePoint now);
+  void on_response_interrupted(const BackendLife& backend, const RequestFingerprint& request,
+                               TimePoint now);
   /// The back end's process ended, whatever ran there.
   void on_process_exit(const std::string& backend, TimePoint now);
   /// What was found since the last call; once more what has turned out to be one of a crowd.
@@ -41,7 +41,7 @@
   void sweep(TimePoint now);
 
  private:
-  struct InterruptedAnswer {
+  struct InterruptedResponse {
     BackendLife backend;
     RequestFingerprint request;
     TimePoint at{};
@@ -49,7 +49,7 @@
 
   bool in_burst(TimePoint at) const;
 
-  std::map<std::string, std::vector<InterruptedAnswer>>
+  std::map<std::string, std::vector<InterruptedResponse>>
       interrupted_;                            ///< By id, without word of the end.
   std::map<std::string, TimePoint> exited_;    ///< By id: ended a moment ago.
   std::vector<BackendCrash> unreported_;       ///< Not taken yet.
--- a/src/gateway/quarantine/crash_update.cpp
+++ b/src/gateway/quarantine/crash_update.cpp
@@ -14,7 +14,7 @@
 constexpr double kEntryBurst = 200;
 /// What waits; beyond it the least urgent is dropped. Other gateways miss single ends then, and
 /// convict later.
-constexpr std::size_t kMaxQueuedEntries = 4096;
+constexpr std::size_t kMaximumQueuedEntries = 4096;
 
 }  // namespace
 
@@ -28,12 +28,12 @@
            std::pair(right.known_crashes, right.event.at);
   };
   crashes_.insert(std::upper_bound(crashes_.begin(), crashes_.end(), entry, more_urgent), entry);
-  if (crashes_.size() > kMaxQueuedEntries) crashes_.erase(crashes_.begin());
+  if (crashes_.size() > kMaximumQueuedEntries) crashes_.erase(crashes_.begin());
 }
 
 void CrashUpdateQueue::add_completion(const RequestFingerprint& request, TimePoint at) {
   completions_.push_back({request, at});
-  if (completions_.size() > kMaxQueuedEntries) completions_.erase(completions_.begin());
+  if (completions_.size() > kMaximumQueuedEntries) completions_.erase(completions_.begin());
 }
 
 CrashUpdate CrashUpdateQueue::take(TimePoint now) {
--- a/src/gateway/quarantine/request_quarantine.cpp
+++ b/src/gateway/quarantine/request_quarantine.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Of one request. With three to convict, the longest hold is that of the first verdict 32 times.
-constexpr std::size_t kMaxCrashesPerRequest = 8;
+constexpr std::size_t kMaximumCrashesPerRequest = 8;
 /// Two ends of a crowd are told within such a span: of agents that ask by turns, over links that
 /// differ, by gateways that each see the moment for themselves.
 constexpr Duration kBurstReportSpan = milliseconds(400);
@@ -20,18 +20,18 @@
 /// under way when it began have mostly been answered.
 constexpr Duration kWarmUpAfterStart = seconds(2);
 /// The same from the first whole answer that it sees: engines may be back later than gateways.
-constexpr Duration kWarmUpAfterFirstAnswer = seconds(1);
+constexpr Duration kWarmUpAfterFirstResponse = seconds(1);
 /// Of one such span; 100 requests a second reach a busy gateway.
-constexpr std::size_t kMaxCompletionsPerSpan = 4096;
+constexpr std::size_t kMaximumCompletionsPerSpan = 4096;
 /// Requests of which one message tells the evidence, about 80 bytes each.
-constexpr std::size_t kMaxVerdictsPerMessage = 256;
+constexpr std::size_t kMaximumVerdictsPerMessage = 256;
 
 }  // namespace
 
 RequestQuarantine::RequestQuarantine(QuarantineOptions options, TimePoint started)
     : options_(options),
       started_(started),
-      recently_completed_(kCompletionRetention, kMaxCompletionsPerSpan) {
+      recently_completed_(kCompletionRetention, kMaximumCompletionsPerSpan) {
   if (started == TimePoint::min()) warmed_up_at_ = started;
 }
 
@@ -76,7 +76,8 @@
   } else {
     if (record.completed_at && event.at <= *record.completed_at) return false;
     record.crashes.push_back({event, false});
-    if (record.crashes.size() > kMaxCrashesPerRequest) record.crashes.erase(record.crashes.begin());
+    if (record.crashes.size() > kMaximumCrashesPerRequest)
+      record.crashes.erase(record.crashes.begin());
   }
   if (!was_over_threshold && over_threshold(record, event.at))
     newly_quarantined_.push_back(request);
@@ -110,7 +111,7 @@
 
 void RequestQuarantine::on_completed(const RequestFingerprint& request, TimePoint now) {
   if (!warmed_up_at_)
-    warmed_up_at_ = std::max(started_ + kWarmUpAfterStart, now + kWarmUpAfterFirstAnswer);
+    warmed_up_at_ = std::max(started_ + kWarmUpAfterStart, now + kWarmUpAfterFirstResponse);
   recently_completed_.add(request, now);
   const auto found = records_.find(request);
   if (found == records_.end()) return;
@@ -177,7 +178,7 @@
   std::sort(judged.begin(), judged.end(), [](const auto* left, const auto* right) {
     return left->second.last_event_at() > right->second.last_event_at();
   });
-  if (judged.size() > kMaxVerdictsPerMessage) judged.resize(kMaxVerdictsPerMessage);
+  if (judged.size() > kMaximumVerdictsPerMessage) judged.resize(kMaximumVerdictsPerMessage);
   CrashUpdate update;
   for (const auto* entry : judged) {
     const auto& [request, record] = *entry;
--- a/src/gateway/quarantine/verdict_pull.h
+++ b/src/gateway/quarantine/verdict_pull.h
@@ -24,14 +24,14 @@
     const bool changed = last.peer_digest != peer_digest || last.own_digest != own_digest;
     if (changed) last.backoff = kInitialBackoff;
     if (now < last.at + last.backoff && last.at != TimePoint{}) return false;
-    last = {peer_digest, own_digest, now, std::min(last.backoff * 2, kMaxBackoff)};
+    last = {peer_digest, own_digest, now, std::min(last.backoff * 2, kMaximumBackoff)};
     return true;
   }
 
  private:
   /// Digests come twice a second: the answer is to have arrived by the next but one.
   static constexpr Duration kInitialBackoff = milliseconds(900);
-  static constexpr Duration kMaxBackoff = seconds(120);
+  static constexpr Duration kMaximumBackoff = seconds(120);
 
   struct LastRequest {
     std::uint64_t peer_digest = 0;
--- a/src/gateway/requests/request_forwarder.cpp
+++ b/src/gateway/requests/request_forwarder.cpp
@@ -117,7 +117,7 @@
   session.waiting = false;
   waiting_.erase(rank_of(number, session));
   session.backend = choice.id;
-  session.backend_life = pool_.life_of(choice.id);
+  session.backend_life = pool_.incarnation_of(choice.id);
   session.backend_address = choice.address;
   session.sent_at = now;
   session.last_progress = now;
@@ -163,7 +163,7 @@
 
 void RequestForwarder::note_cut_off(const RequestSession& session, TimePoint now,
                                     ForwarderActions& actions) {
-  crash_correlator_.on_answer_interrupted(session.backend_life, session.fingerprint, now);
+  crash_correlator_.on_response_interrupted(session.backend_life, session.fingerprint, now);
   // The agent beside an engine tells of its end; nobody does for a plain service.
   if (!session.service->engine) {
     actions.emplace_back(ProbeBackend{session.backend, session.backend_address});
@@ -199,7 +199,8 @@
   session.head_seen = true;
   session.facts = facts;
   session.last_progress = now;
-  pool_.limits().on_answer(session.backend, facts.rate_limit, facts.success, session.sent_at, now);
+  pool_.limits().on_response(session.backend, facts.rate_limit, facts.success, session.sent_at,
+                             now);
   session.events = event_stream && facts.success && session.route->kind == RequestKind::stream;
 }
 
--- a/tests/gateway/backends/backend_limits_test.cpp
+++ b/tests/gateway/backends/backend_limits_test.cpp
@@ -19,7 +19,7 @@
 
   void answer(std::optional<double> per_second, TimePoint asked_at, TimePoint now,
               bool served = true) {
-    limits.on_answer("e1", {true, per_second}, served, asked_at, now);
+    limits.on_response("e1", {true, per_second}, served, asked_at, now);
   }
 
  public:
@@ -67,10 +67,10 @@
   }
 
   void a_limit_that_cannot_be_read_changes_nothing() {
-    limits.on_answer("e1", {false, {}}, true, start, start);
+    limits.on_response("e1", {false, {}}, true, start, start);
     CPPUNIT_ASSERT(!limits.limited("e1"));
     answer(2, start, start);
-    limits.on_answer("e1", {false, {}}, true, start + seconds(5), start + seconds(6));
+    limits.on_response("e1", {false, {}}, true, start + seconds(5), start + seconds(6));
     CPPUNIT_ASSERT_EQUAL(2.0, *limits.limit_of("e1").per_second);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, limits.unreadable());
   }
--- a/tests/gateway/backends/backend_pool_test.cpp
+++ b/tests/gateway/backends/backend_pool_test.cpp
@@ -33,7 +33,7 @@
   CPPUNIT_TEST(prompts_of_other_gateways_lengthen_the_expected_wait);
   CPPUNIT_TEST(changed_backlogs_are_reported_once);
   CPPUNIT_TEST(an_engine_restarted_under_its_id_inherits_no_state);
-  CPPUNIT_TEST(a_late_entry_of_an_earlier_process_is_ignored);
+  CPPUNIT_TEST(a_late_entry_of_an_earlier_incarnation_is_ignored);
   CPPUNIT_TEST(an_unsubscribed_engine_gets_nothing);
   CPPUNIT_TEST(unsubscribed_engines_do_not_count_as_silent);
   CPPUNIT_TEST(idle_connections_leave_room_for_all_gateways);
@@ -82,7 +82,7 @@
     world.pool.on_finished("e1");  // Of its earlier life.
   }
 
-  void a_late_entry_of_an_earlier_process_is_ignored() {
+  void a_late_entry_of_an_earlier_incarnation_is_ignored() {
     use_engines();
     const BackendRecord earlier = world.pool.records().front();
     BackendRecord restarted = earlier;
--- a/tests/gateway/quarantine/crash_correlator_test.cpp
+++ b/tests/gateway/quarantine/crash_correlator_test.cpp
@@ -8,10 +8,10 @@
 
 class CrashCorrelatorTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CrashCorrelatorTest);
-  CPPUNIT_TEST(an_interrupted_answer_alone_is_no_crash);
+  CPPUNIT_TEST(an_interrupted_response_alone_is_no_crash);
   CPPUNIT_TEST(a_process_exit_names_all_requests_that_it_interrupted);
   CPPUNIT_TEST(the_process_exit_may_be_reported_first);
-  CPPUNIT_TEST(a_process_exit_long_after_an_interrupted_answer_is_unrelated);
+  CPPUNIT_TEST(a_process_exit_long_after_an_interrupted_response_is_unrelated);
   CPPUNIT_TEST(several_process_exits_within_the_span_are_a_burst);
   CPPUNIT_TEST(a_crash_is_reported_at_once_and_again_as_part_of_a_burst);
   CPPUNIT_TEST(a_surviving_agent_reports_the_exit_of_its_engine);
@@ -21,17 +21,17 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void an_interrupted_answer_alone_is_no_crash() {
-    correlator_.on_answer_interrupted(kE1, kFirst, now_);
+  void an_interrupted_response_alone_is_no_crash() {
+    correlator_.on_response_interrupted(kE1, kFirst, now_);
     CPPUNIT_ASSERT(correlator_.take_crashes(now_ + seconds(1)).empty());
     CPPUNIT_ASSERT(correlator_.awaits_confirmation(kFirst, now_));
     CPPUNIT_ASSERT(!correlator_.awaits_confirmation(kSecond, now_));
   }
 
   void a_process_exit_names_all_requests_that_it_interrupted() {
-    correlator_.on_answer_interrupted(kE1, kFirst, now_);
-    correlator_.on_answer_interrupted(kE1, kSecond, now_);
-    correlator_.on_answer_interrupted(kE2, kThird, now_);
+    correlator_.on_response_interrupted(kE1, kFirst, now_);
+    correlator_.on_response_interrupted(kE1, kSecond, now_);
+    correlator_.on_response_interrupted(kE2, kThird, now_);
     correlator_.on_process_exit("e1", now_ + milliseconds(130));
     const auto crashes = correlator_.take_crashes(now_ + seconds(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, crashes.size());
@@ -42,35 +42,35 @@
 
   void the_process_exit_may_be_reported_first() {
     correlator_.on_process_exit("e1", now_);
-    correlator_.on_answer_interrupted(kE1, kFirst, now_ + milliseconds(5));
+    correlator_.on_response_interrupted(kE1, kFirst, now_ + milliseconds(5));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, correlator_.take_crashes(now_ + seconds(1)).size());
   }
 
-  void a_process_exit_long_after_an_interrupted_answer_is_unrelated() {
-    correlator_.on_answer_interrupted(kE1, kFirst, now_);
+  void a_process_exit_long_after_an_interrupted_response_is_unrelated() {
+    correlator_.on_response_interrupted(kE1, kFirst, now_);
     correlator_.on_process_exit("e1", now_ + seconds(2));
     CPPUNIT_ASSERT(correlator_.take_crashes(now_ + seconds(1)).empty());
     correlator_.sweep(now_ + seconds(2));
-    correlator_.on_answer_interrupted(kE1, kSecond, now_ + seconds(4));
+    correlator_.on_response_interrupted(kE1, kSecond, now_ + seconds(4));
     CPPUNIT_ASSERT(correlator_.take_crashes(now_ + seconds(1)).empty());
   }
 
   void several_process_exits_within_the_span_are_a_burst() {
-    correlator_.on_answer_interrupted(kE1, kFirst, now_);
+    correlator_.on_response_interrupted(kE1, kFirst, now_);
     correlator_.on_process_exit("e1", now_ + milliseconds(20));
     correlator_.on_process_exit("e2", now_ + milliseconds(100));  // Whatever ran there.
     correlator_.on_process_exit("e3", now_ + milliseconds(140));
-    correlator_.on_answer_interrupted(kE2, kSecond, now_ + milliseconds(150));
+    correlator_.on_response_interrupted(kE2, kSecond, now_ + milliseconds(150));
     const auto crashes = correlator_.take_crashes(now_ + milliseconds(400));
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, crashes.size());
     CPPUNIT_ASSERT(crashes[0].in_burst && crashes[1].in_burst);
     correlator_.on_process_exit("e4", now_ + milliseconds(900));
-    correlator_.on_answer_interrupted({"e4", 1}, kThird, now_ + milliseconds(900));
+    correlator_.on_response_interrupted({"e4", 1}, kThird, now_ + milliseconds(900));
     CPPUNIT_ASSERT(!correlator_.take_crashes(now_ + seconds(2)).at(0).in_burst);
   }
 
   void a_crash_is_reported_at_once_and_again_as_part_of_a_burst() {
-    correlator_.on_answer_interrupted(kE1, kFirst, now_);
+    correlator_.on_response_interrupted(kE1, kFirst, now_);
     correlator_.on_process_exit("e1", now_);
     CPPUNIT_ASSERT(!correlator_.take_crashes(now_).at(0).in_burst);
     CPPUNIT_ASSERT(correlator_.take_crashes(now_ + milliseconds(50)).empty());
--- a/tests/gateway/quarantine/request_quarantine_test.cpp
+++ b/tests/gateway/quarantine/request_quarantine_test.cpp
@@ -17,8 +17,8 @@
   CPPUNIT_TEST_SUITE(RequestQuarantineTest);
   CPPUNIT_TEST(three_crashes_quarantine_a_request);
   CPPUNIT_TEST(one_crash_seen_by_many_counts_once);
-  CPPUNIT_TEST(a_complete_answer_discounts_earlier_crashes);
-  CPPUNIT_TEST(a_popular_request_is_not_quarantined_by_crashes_between_its_answers);
+  CPPUNIT_TEST(a_complete_response_discounts_earlier_crashes);
+  CPPUNIT_TEST(a_popular_request_is_not_quarantined_by_crashes_between_its_responses);
   CPPUNIT_TEST(a_crash_in_a_burst_counts_only_beside_another);
   CPPUNIT_TEST(a_burst_seen_by_a_gateway_that_is_warming_up_does_not_count);
   CPPUNIT_TEST(a_crash_that_turns_out_to_be_in_a_burst_is_reported_so);
@@ -61,7 +61,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, quarantine_.crash_count(kRequest));
   }
 
-  void a_complete_answer_discounts_earlier_crashes() {
+  void a_complete_response_discounts_earlier_crashes() {
     crash("e1");
     crash("e2");
     now_ += seconds(1);
@@ -76,7 +76,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, quarantine_.crash_count(kRequest));
   }
 
-  void a_popular_request_is_not_quarantined_by_crashes_between_its_answers() {
+  void a_popular_request_is_not_quarantined_by_crashes_between_its_responses() {
     for (int round = 0; round < 50; ++round) {
       crash("e" + std::to_string(round));
       now_ += milliseconds(100);
--- a/tests/support/limited_fleet.cpp
+++ b/tests/support/limited_fleet.cpp
@@ -244,15 +244,15 @@
     gateway.pool.permits().on_limit_changed(change.backend);
     if (change.source != LimitSource::answer) continue;
     send_to_issuer(index, gateway,
-                   {change.backend, gateway.pool.life_of(change.backend).started_at_ms, now_, false,
-                    0, change.limit});
+                   {change.backend, gateway.pool.incarnation_of(change.backend).started_at_ms, now_,
+                    false, 0, change.limit});
   }
 }
 
 void LimitedFleet::exchange_permits(std::size_t index, Gateway& gateway) {
   for (const PermitMessage& call : gateway.pool.permits().take_messages(now_)) {
     const PermitRequest request{call.backend,
-                                gateway.pool.life_of(call.backend).started_at_ms,
+                                gateway.pool.incarnation_of(call.backend).started_at_ms,
                                 call.asked_at,
                                 call.wanted,
                                 0,
