--- a/src/gateway/backends/backend_choice.cpp
+++ b/src/gateway/backends/backend_choice.cpp
@@ -1,4 +1,4 @@
-// Which back end a request goes to: those that may take it, and what each would cost.
+// Selects the back end of a request: which ones are eligible, and what each would cost.
 #include <algorithm>
 
 #include "admission/first_token_model.h"
@@ -7,14 +7,16 @@
 namespace pumicemast {
 namespace {
 
-/// A report tells of what reached the engine so long before it arrives here.
+/// Time between an agent's reading of an engine's load and the arrival of the report here: a report
+/// covers only requests that were sent at least this long before it arrived.
 constexpr Duration kReportTransit = milliseconds(8);
 constexpr double kMillisecondsPerSecond = 1000;
-/// One plain request in flight weighs like so much waiting.
+/// Predicted wait, in milliseconds, for each request in flight at a back end that is no engine.
 constexpr double kPlainRequestMs = 12;
+/// Upper bound, in milliseconds, of a random cost that spreads requests over equal back ends.
 constexpr double kTieBreakMs = 2;
-/// Share of an engine's places that callers who come back leave free: what takes a place keeps it
-/// for a second, in which a first attempt may come.
+/// Fraction of an engine's slots that requests with `unreserved_only` leave free. A request
+/// occupies its slot for about a second, and a first attempt may arrive within that time.
 constexpr double kReservedShare = 0.25;
 
 }  // namespace
@@ -80,7 +82,8 @@
   const EngineProfile& engine = *need.service->engine;
   const double usual_tokens = std::max(1.0, engine.usual_answer_tokens);
   const double tokens = need.answer_tokens > 0 ? need.answer_tokens : engine.usual_answer_tokens;
-  // For each answer that ends, one prompt is read: that time is spread over the tokens.
+  // Each response that ends makes room for one prompt, whose prefill delays the running requests.
+  // That time is spread over the tokens of a response.
   const double others_prefill_ms = backend.report.running * engine.usual_prompt_tokens *
                                    kMillisecondsPerSecond / engine.prompt_tokens_per_s;
   const double token_ms = engine.step_ms + others_prefill_ms / usual_tokens;
@@ -118,16 +121,17 @@
 bool BackendPool::possibly_stalled(const Backend& backend, const TelemetryCoverage& coverage,
                                    TimePoint now) const {
   if (!coverage.reports) return false;
-  // The machine may stand still, and would run what it is sent now whenever it wakes.
+  // The machine may be suspended, and would run what is sent now whenever it resumes.
   if (!has_fresh_report(backend, now) || path_delayed(backend, now)) return true;
-  // An entry that lapsed behind a narrow link and came back: what is sent there before the path is
-  // measured anew may begin so late that no request may start on these weights any more.
+  // The list entry may have expired behind a narrow link and come back. A request that is sent
+  // before the path has been measured again may start so late that no request may start on these
+  // weights any more.
   return coverage.paths && backend.path_measured_at == TimePoint{};
 }
 
 bool BackendPool::may_send(const std::string& id, const Backend& backend, const BackendNeed& need,
                            TimePoint now) const {
-  // Also what is urgent: a back end in need counts every request.
+  // Urgent requests need a permit, too: a back end that limits its requests counts all of them.
   if (limits_.limited(id)) return permits_.held(id, now);
   return has_credit(backend, need, now);
 }
@@ -151,7 +155,7 @@
     if (!is_eligible(backend, need, now) || excluded.contains(id)) continue;
     const double wait_ms = expected_ms(backend, need, now);
     if (!has_unreserved_slot(backend, need, now)) continue;
-    // One long answer keeps an engine from its new weights, and from all other requests.
+    // A single long response keeps an engine from its new weights and from all other requests.
     if (overrun_ms(backend, need, wait_ms, now) > max_overrun_ms) continue;
     if (possibly_stalled(backend, coverage, now)) continue;
     visit(id, backend, wait_ms);
--- a/src/gateway/backends/backend_limits.cpp
+++ b/src/gateway/backends/backend_limits.cpp
@@ -3,8 +3,8 @@
 namespace pumicemast {
 namespace {
 
-/// Answers overtake each other: one without a limit proves its end only so long after the last
-/// that named it.
+/// A response without a limit ends a known limit only if it arrives at least this long after the
+/// last response that stated the limit, because responses may overtake each other.
 constexpr Duration kLimitRemovalDelay = seconds(1);
 
 }  // namespace
--- a/src/gateway/backends/backend_limits.h
+++ b/src/gateway/backends/backend_limits.h
@@ -1,4 +1,5 @@
-/// Which back ends name a limit for the requests of all gateways together, as far as is known here.
+/// Tracks which back ends limit the requests of all gateways together, as far as this gateway
+/// knows.
 ///
 /// A decision core: no I/O.
 #pragma once
@@ -13,11 +14,12 @@
 
 namespace pumicemast {
 
-/// Who told of a limit.
+/// Where an observation of a limit came from: a response to this gateway, the back end's agent, or
+/// another gateway.
 enum class LimitSource { answer, agent, gateway };
 const char* to_string(LimitSource source);
 
-/// Another limit holds for a back end.
+/// A change of the limit of a back end.
 struct LimitChange {
   std::string backend;
   RateLimit limit;
@@ -26,25 +28,26 @@
 
 class BackendLimits {
  public:
-  /// An answer came from the back end.
-  /// @param served    it ran the request: a refusal without a limit proves no end of one.
+  /// Handles a response from the back end.
+  /// @param served    whether the back end ran the request: a refusal that states no limit does not
+  ///                  show that a limit has ended.
   /// @param asked_at  when the request was sent.
   void on_response(const std::string& backend, const StatedRateLimit& stated, bool served,
                    TimePoint asked_at, TimePoint now);
-  /// Its agent or another gateway has observed a limit, or that there is none.
+  /// Handles an observation by the back end's agent or by another gateway: a limit, or none.
   void on_reported(const std::string& backend, const RateLimit& limit, LimitSource source);
-  /// The back end has gone, or was started anew.
+  /// Call when the back end was removed or restarted.
   void forget(const std::string& backend) { trackers_.erase(backend); }
 
   bool limited(const std::string& backend) const { return limit_of(backend).named(); }
   RateLimit limit_of(const std::string& backend) const;
-  /// Back ends that name a limit now.
+  /// Back ends that currently state a limit.
   std::vector<std::string> limited() const;
-  /// All that is known, also of back ends whose limit has ended.
+  /// The limits known by id, including those of back ends whose limit has ended.
   const std::map<std::string, RateLimitBelief>& trackers() const { return trackers_; }
-  /// What has changed since the last call.
+  /// Returns the changes since the last call.
   std::vector<LimitChange> take_changes();
-  /// Answers that stated a limit which is no number of requests; they change nothing.
+  /// Number of responses whose stated limit is not a number of requests; these are ignored.
   std::uint64_t unreadable() const { return unreadable_; }
 
  private:
--- a/src/gateway/backends/backend_permits.cpp
+++ b/src/gateway/backends/backend_permits.cpp
@@ -5,10 +5,10 @@
 namespace pumicemast {
 namespace {
 
-/// From the asking on. One that is used later would count into a window for which it was not
-/// issued.
+/// Time from the request for a permit until it expires. A permit used later would fall into a
+/// window of the limit for which it was not issued.
 constexpr Duration kPermitLifetime = milliseconds(150);
-/// What was given back longer ago is told no more.
+/// How long an unused permit is reported to the issuer, from its request on.
 constexpr Duration kReturnRetention = seconds(3);
 
 }  // namespace
@@ -65,7 +65,7 @@
     return;
   }
   ++counters_.granted;
-  if (was_abandoned) return;  // It was given back with its asking.
+  if (was_abandoned) return;  // The permit was returned when its request was abandoned.
   entry.held_until.push_back(answer.asked_at + kPermitLifetime);
 }
 
--- a/src/gateway/backends/backend_permits.h
+++ b/src/gateway/backends/backend_permits.h
@@ -1,7 +1,7 @@
-/// This gateway's permits to send to back ends that limit the requests of all gateways together.
+/// Manages this gateway's permits for back ends that limit the requests of all gateways together.
 ///
-/// A decision core: no I/O. A permit is asked for when a request waits for one, is used once, and
-/// goes back to its issuer if it was not used soon.
+/// A decision core: no I/O. A permit is requested when a request waits for one, is used once, and
+/// is returned to its issuer if it is not used before it expires.
 #pragma once
 
 #include <cstdint>
@@ -16,14 +16,15 @@
 
 namespace pumicemast {
 
-/// What the issuer for a back end is to be told.
+/// A message to the issuer for a back end: a request for a permit, returned permits, or both.
 struct PermitMessage {
   std::string backend;
   TimePoint asked_at{};
   bool wanted = false;
-  std::uint32_t returned = 0;  ///< Permits that were held and not used.
-  /// By their asked_at: those that were not used, and requests that nobody answered in time, whose
-  /// permits may have been granted. Told again until the issuer answers.
+  std::uint32_t returned = 0;  ///< Number of permits that were held and not used.
+  /// Earlier permit requests, identified by their asked_at: those whose permit was not used, and
+  /// those that were not answered in time, whose permit may have been granted. Repeated until the
+  /// issuer answers.
   std::vector<TimePoint> given_back{};
 };
 
@@ -38,31 +39,32 @@
 class BackendPermits {
  public:
   bool held(const std::string& backend, TimePoint now) const;
-  /// Whether one may be asked for: none is held or asked for, and the issuer has not said to wait.
+  /// Whether a permit may be requested: none is held or requested, and the time to wait that the
+  /// issuer stated has passed.
   bool can_request(const std::string& backend, TimePoint now) const;
-  /// Permits that are held or asked for.
+  /// Number of permits that are held or requested.
   std::size_t outstanding(TimePoint now) const;
   void request(const std::string& backend, TimePoint now);
   void on_answer(const PermitAnswer& answer, TimePoint now);
-  /// A request goes to the back end.
+  /// Consumes a permit: a request is sent to the back end.
   void use(const std::string& backend, TimePoint now);
-  /// No request waits for a permit any more: what is held goes back at once, to be of use
-  /// elsewhere.
+  /// Returns all held permits, for other gateways to use: no request waits for one any more.
   void release_unused();
-  /// Another limit holds: what the issuer said of the time to wait holds no longer.
+  /// Discards the time to wait that the issuer stated, because the limit has changed.
   void on_limit_changed(const std::string& backend);
   void forget(const std::string& backend) { entries_.erase(backend); }
 
-  /// What is to be told to issuers now. Call after each event, and while permits are held.
+  /// Returns the messages due to issuers. Call after each event, and regularly while permits are
+  /// held.
   std::vector<PermitMessage> take_messages(TimePoint now);
-  /// Whether take_messages() may have something to tell, now or soon.
+  /// Whether take_messages() may return a message, now or when a held permit expires.
   bool active() const;
   const PermitCounters& counters() const { return counters_; }
 
  private:
   struct UnusedPermit {
     TimePoint asked_at{};
-    /// Of the last request that told it.
+    /// The asked_at of the last permit request that reported it.
     std::optional<TimePoint> reported_in;
   };
   struct Entry {
@@ -73,7 +75,7 @@
     std::uint32_t unreported_returns = 0;
     std::vector<UnusedPermit> given_back;
   };
-  /// The asking is over without an answer.
+  /// Gives up the pending request, which was not answered in time.
   static void abandon_request(Entry& entry);
   static void queue_return(Entry& entry, TimePoint held_until);
   static PermitMessage make_message(const std::string& backend, Entry& entry, bool requests_permit,
--- a/src/gateway/backends/backend_pool.cpp
+++ b/src/gateway/backends/backend_pool.cpp
@@ -8,7 +8,7 @@
 constexpr std::size_t kMaximumRememberedDepartures = 64;
 constexpr std::size_t kMaximumIdleConnections = 24;
 
-/// Whether the engine's process has ended between two reports of one agent.
+/// Whether the engine's process ended between two reports of one agent.
 bool has_process_ended(const LoadReport& before, const LoadReport& after) {
   if (!before.alive) return false;
   const bool both_say = before.started_at_ms != 0 && after.started_at_ms != 0;
@@ -46,8 +46,8 @@
 void BackendPool::on_record(const BackendRecord& record) {
   Backend& backend = backends_[record.id];
   if (record.revision < backend.record.revision) return;
-  // The list's revision tells which entry is newer: a clock that was set back makes a later start
-  // look earlier.
+  // The list's revision decides which entry is newer. The start time can't: a clock that was set
+  // back makes a later start look earlier.
   if (record.started_at_ms != backend.record.started_at_ms) {
     reset_for_new_incarnation(backend);
     limits_.forget(record.id);
@@ -65,7 +65,8 @@
 }
 
 void BackendPool::reset_for_new_incarnation(Backend& backend) {
-  // Its own requests still in flight end one by one, as on a lost connection.
+  // This gateway's requests to the earlier incarnation still end one by one, as when a connection
+  // is lost.
   const std::uint32_t in_flight = backend.in_flight;
   backend = Backend{};
   backend.in_flight = in_flight;
@@ -74,7 +75,7 @@
 void BackendPool::on_removed(const std::string& id, std::uint64_t revision, TimePoint now) {
   Backend* backend = find(id);
   if (backend == nullptr || backend->removed) return;
-  // Told late: a newer entry of the same name is known.
+  // A late report: a newer entry with the same id is known.
   if (revision != 0 && revision < backend->record.revision) return;
   const bool may_have_expired =
       !list_reachable_ || now < list_reachable_since_ + options_.outage_expiry_window;
@@ -198,9 +199,9 @@
   Backend* backend = find(id);
   if (backend == nullptr) return;
   if (backend->in_flight > 0) --backend->in_flight;
-  // The place that falls free may be taken at once, by the gateway that knows of it, unless others
-  // wait there for it. Otherwise a queue that has once formed (gateways that know no reports yet
-  // send by guess) would stay as long as there is more to do than can be served.
+  // This gateway may reuse the freed slot at once, unless requests are queued at the engine. If it
+  // did so in spite of a queue, a queue that has formed (gateways without reports send on
+  // estimates) would last as long as demand exceeds capacity.
   if (backend->report.queued == 0) ++backend->report.credit;
 }
 
--- a/src/gateway/backends/backend_pool.h
+++ b/src/gateway/backends/backend_pool.h
@@ -1,8 +1,8 @@
-/// The back ends a gateway knows, how loaded they are, and which one a request goes to.
+/// Tracks the back ends that a gateway knows and their load, and selects one for each request.
 ///
-/// A decision core: no I/O. What it knows comes from three sources of different age: the
-/// list of service discovery, the load reports of the agents beside the engines, and what
-/// this gateway sees of its own requests.
+/// A decision core: no I/O. Its state comes from three sources of different age: the list of
+/// service discovery, the load reports of the agents on the engines' machines, and the requests of
+/// this gateway itself.
 #pragma once
 
 #include <cstdint>
@@ -24,47 +24,49 @@
 namespace pumicemast {
 
 struct BackendPoolOptions {
-  std::string zone;  ///< Where this gateway stands; its own back ends are preferred.
+  std::string zone;  ///< Zone of this gateway; back ends in the same zone are preferred.
   std::uint64_t seed = 1;
-  /// Added to the predicted wait of a back end in another zone: what crossing costs.
+  /// Cost of sending to another zone, in milliseconds; added to the predicted wait there.
   double other_zone_ms = 35;
-  /// By so much a request may keep an engine longer from changing weights than the engine
-  /// that it would keep least.
+  /// An engine is skipped if the request would delay its weight change by more than this, in
+  /// milliseconds, beyond the shortest such delay at any eligible engine.
   double overrun_tolerance_ms = 600;
-  /// Without a report for so long, the load is estimated from this gateway's requests alone.
+  /// Age at which a load report expires. Without a report, the load is estimated from this
+  /// gateway's requests alone.
   Duration report_lifetime = milliseconds(900);
-  /// What vanishes so soon after the list could be read again may have lapsed meanwhile.
+  /// An entry that disappears within this time after the list became readable again may have
+  /// expired during the outage.
   Duration outage_expiry_window = milliseconds(1000);
-  /// An entry that lapsed comes back within about two seconds of the list's return; one that is
-  /// missing longer has gone.
+  /// Time after the list became readable again for which a possibly expired entry stays usable. An
+  /// expired entry comes back within about two seconds; one that is missing longer has left.
   Duration outage_expiry_grace = milliseconds(2200);
-  /// A back end whose link holds messages up for so long gets nothing new.
+  /// A back end whose path delay exceeds this gets no new requests.
   Duration max_path_delay = milliseconds(200);
-  /// The path is measured at least this often; a measurement that fails to come is a delay.
+  /// Longest interval between two path measurements; a missing measurement counts as a delay.
   Duration path_measurement_interval = milliseconds(1000);
-  /// A back end that fails is left alone for so long; doubled with each failure in a row.
+  /// A back end that fails gets no requests for this time, doubled with each consecutive failure.
   Duration initial_backoff = milliseconds(250);
-  Duration max_backoff = seconds(4);
-  /// Gateways among which the load of a back end without reports is thought to be shared, until
-  /// it is known how many there are.
+  Duration max_backoff = seconds(4);  ///< Upper bound of the doubled back-off.
+  /// Number of gateways assumed to share a back end whose load is not reported; replaced once the
+  /// actual number is known.
   double gateway_count = 7;
 };
 
-/// A back end that is draining or gone, and the revision of the list that said so.
+/// A back end that is draining or removed, and the list revision that showed it.
 struct BackendDeparture {
   std::string id;
   std::uint64_t revision = 0;
 };
 
-/// What a request needs of its back end.
+/// Requirements of a request on its back end.
 struct BackendNeed {
   const ServiceProfile* service = nullptr;
   double prompt_tokens = 0;
-  double answer_tokens = 0;  ///< As the caller expects; 0 when it did not say.
-  std::uint64_t lowest_version = 0;
-  std::uint64_t preferred_version = 0;  ///< Of an answer that is to be continued; 0 for any.
-  bool urgent = false;  ///< Sent again after a failure: goes before what has not begun.
-  /// Takes only what would hardly be needed by others: a part of each engine's places is reserved.
+  double answer_tokens = 0;  ///< Response length that the caller expects; 0 when not stated.
+  std::uint64_t lowest_version = 0;     ///< Oldest weights that may run the request.
+  std::uint64_t preferred_version = 0;  ///< Weights of a response to be resumed; 0 for any.
+  bool urgent = false;  ///< A retry after a failure: takes precedence over first attempts.
+  /// The request must leave the reserved fraction of each engine's slots free.
   bool unreserved_only = false;
 };
 
@@ -72,10 +74,10 @@
   std::string id;
   Address address;
   std::uint64_t weight_version = 0;
-  double expected_ms = 0;  ///< Predicted time to the first token, or a plain service's wait.
+  double expected_ms = 0;  ///< Predicted time to the first token; for other services, the wait.
 };
 
-/// Prompt tokens of own requests at an engine that have no first token yet.
+/// Prompt tokens of this gateway's requests at an engine that have no first token yet.
 struct PromptBacklog {
   Address address;
   double pending_tokens = 0;
@@ -85,82 +87,89 @@
  public:
   explicit BackendPool(BackendPoolOptions options);
 
-  /// Adds or updates an entry. One that left comes back with a newer entry only, as when it was
-  /// started again under the id that it had; nothing that was known of it before holds then.
+  /// Adds or updates a back end. One that left comes back only with a newer entry. An entry with
+  /// another start time is a restart under the same id, and discards everything known before.
   void on_record(const BackendRecord& record);
-  /// Its entry vanished. That means that it leaves, unless entries may have lapsed because
-  /// nobody could renew them; then one whose agent says that it lives is used a while longer.
+  /// Handles the removal of a list entry. The back end is leaving, unless entries may have expired
+  /// because they could not be renewed during an outage of the list. In that case, a back end that
+  /// its agent reports as alive stays in use until the grace period ends.
   void on_removed(const std::string& id, std::uint64_t revision, TimePoint now);
-  /// Another gateway has seen it leaving or gone: no new work, unless a newer entry is known.
+  /// Another gateway reports the back end as draining or removed: it gets no new requests, unless a
+  /// newer entry is known.
   void on_leaving(const std::string& id, std::uint64_t revision);
-  /// The whole list was read: what it does not name is gone.
+  /// Handles the complete list: a back end without an entry counts as removed.
   void on_list(const std::vector<BackendRecord>& records, std::uint64_t revision, TimePoint now);
-  /// The list can be read, or can't.
   void set_gateway_count(std::size_t count) { options_.gateway_count = static_cast<double>(count); }
+  /// The list became readable or unreadable.
   void on_list_reachable(bool reachable, TimePoint now);
-  /// Forgets back ends that are gone and idle. Call now and then.
+  /// Drops removed back ends without requests in flight. Call periodically.
   void sweep(TimePoint now);
-  /// @return the back end, if its process has ended since the report before: the agent that tells
-  /// it
-  ///         has lived on.
+  /// @return the id of the back end if its process ended since the previous report of the same
+  ///         agent, which kept running.
   std::optional<std::string> on_report(const Address& address, const LoadReport& report,
                                        TimePoint now);
-  /// Prompt tokens of other gateways' requests there have changed; the rest of the report stands.
+  /// The prompt tokens of other gateways' pending requests have changed; the rest of the last
+  /// report stays valid.
   void on_others_backlog(const Address& address, std::uint32_t pending_tokens);
-  /// A message to the machine of this engine and back takes so long.
+  /// @param delay  measured round-trip time to the engine's machine.
   void on_path_delay(const Address& address, Duration delay, TimePoint now);
   void on_agent_lost(const Address& address);
 
   void on_sent(const std::string& id, double prompt_tokens, TimePoint now);
   void on_first_token(const std::string& id, double prompt_tokens);
   void on_finished(const std::string& id);
-  /// It failed a request in a way that speaks against it.
+  /// A request failed in a way that indicates a fault of the back end.
   void on_failure(const std::string& id, TimePoint now);
   void on_success(const std::string& id);
-  /// It declined a request as full, or the like: its load is not what was thought.
+  /// The back end refused a request, for example as full: its load differs from what is known here.
   void on_refusal(const std::string& id, TimePoint now);
 
-  /// The back end with the lowest predicted wait among those that may take the request.
+  /// Returns the back end with the lowest cost (predicted wait plus routing penalty) among those
+  /// that may take the request now.
   /// @param excluded  back ends that this request must not go to.
   std::optional<BackendChoice> choose(const BackendNeed& need,
                                       const std::set<std::string>& excluded, TimePoint now);
-  /// No back end may take the request now: asks for a permit to one that limits its requests, if
-  /// there is any.
-  /// @param waiting  requests that wait for room; no more permits are asked for.
+  /// Requests a permit for the cheapest back end that limits its requests, if there is one. Call
+  /// when no back end may take the request now.
+  /// @param waiting  number of waiting requests; no more permits than that are held or requested.
   void request_permit(const BackendNeed& need, const std::set<std::string>& excluded,
                       std::size_t waiting, TimePoint now);
-  /// Engines whose backlog of this gateway's prompts has changed since the last call.
+  /// Returns the engines where this gateway's prompt backlog has changed since the last call.
   std::vector<PromptBacklog> take_changed_backlogs();
+  /// Whether the back end is draining, removed or unknown.
   bool leaving(const std::string& id) const;
-  /// Of the process that has this id now, as the list tells.
+  /// The incarnation that the list names for this id.
   BackendLife incarnation_of(const std::string& id) const;
-  /// Whether a back end of `service` holds weights of `lowest_version` or newer, with room or not.
+  /// Whether a back end of `service` has weights of `lowest_version` or newer, at any load.
   bool has_weights(const std::string& service, std::uint64_t lowest_version, TimePoint now) const;
-  /// Its agent has said so lately.
+  /// Whether a current report of its agent says that the back end is alive.
   bool known_alive(const std::string& id, TimePoint now) const;
-  /// Back ends that are leaving or gone, for other gateways; the newest last.
+  /// Back ends that are draining or removed, in the order of their departure; sent to other
+  /// gateways.
   const std::deque<BackendDeparture>& recent_departures() const { return departure_order_; }
   std::vector<BackendRecord> records() const;
-  /// Those that the list names.
+  /// The records of back ends that are in the list.
   std::vector<BackendRecord> listed_records() const;
-  /// The engines that this gateway hears of: it sends to no others. All until this is called.
+  /// Sets the engines whose load this gateway receives. It sends to no others; until the first
+  /// call, it may send to all.
   void set_subscribed_engines(std::set<Address> engines) {
     subscribed_engines_ = std::move(engines);
   }
   std::size_t size() const { return backends_.size(); }
-  /// The limits that back ends name, by id.
+  /// The limits that back ends state, by id.
   BackendLimits& limits() { return limits_; }
   const BackendLimits& limits() const { return limits_; }
-  /// What this gateway may send to those.
+  /// This gateway's permits for back ends with a limit.
   BackendPermits& permits() { return permits_; }
-  /// Whether a back end of `service` could take requests but for the limit that it names.
+  /// Whether a back end of `service` that is in service limits its requests.
   bool has_limited_backend(const std::string& service) const;
-  /// Of the connections that one back end accepts from all callers together, those that may rest at
-  /// this gateway: they keep others out.
+  /// Maximum number of idle connections that this gateway keeps open to one back end: its part of
+  /// the connections that the back end accepts in total. Idle connections take those from other
+  /// callers.
   std::size_t max_idle_connections(const ServiceProfile& service) const;
-  /// Its entry of the list, or null.
+  /// The latest record of the back end, or null.
   const BackendRecord* record_of(const std::string& id) const;
-  /// Back ends whose agents have told their load lately.
+  /// Number of listed back ends with a current load report.
   std::size_t reporting(TimePoint now) const;
 
  private:
@@ -169,15 +178,15 @@
     LoadReport report;
     TimePoint reported_at{};
     bool has_report = false;
-    std::deque<TimePoint> sent;        ///< Sends that the report can't know of.
-    double pending_prompt_tokens = 0;  ///< Of own requests without a first token.
+    std::deque<TimePoint> sent;        ///< Send times of requests that the report can't include.
+    double pending_prompt_tokens = 0;  ///< Of this gateway's requests without a first token.
     std::uint32_t in_flight = 0;
-    std::uint32_t failures = 0;  ///< In a row.
+    std::uint32_t failures = 0;  ///< Consecutive failures.
     TimePoint backoff_until{};
     Duration path_delay = Duration::zero();
     TimePoint path_measured_at{};
     bool removed = false;
-    TimePoint usable_until{};  ///< Of one that is gone.
+    TimePoint usable_until{};  ///< Only set for a removed back end.
   };
 
   Backend* find(const std::string& id);
@@ -189,34 +198,37 @@
   bool has_fresh_report(const Backend& backend, TimePoint now) const;
   bool path_delayed(const Backend& backend, TimePoint now) const;
   bool is_eligible(const Backend& backend, const BackendNeed& need, TimePoint now) const;
-  /// How long an answer would still be under way after the engine was to leave service.
+  /// How long, in milliseconds, a response would still run after the engine's scheduled time to
+  /// leave service.
   double overrun_ms(const Backend& backend, const BackendNeed& need, double wait_ms,
                     TimePoint now) const;
-  /// Places of an engine that are taken, as far as it is known here.
+  /// Number of occupied slots of an engine, as far as it is known or estimated here.
   double occupied_slots(const Backend& backend, TimePoint now) const;
-  /// Whether this gateway may send there now, by the back end's limit or by its agent's credits.
+  /// Whether this gateway may send there now: with a permit if the back end has a limit, else with
+  /// a credit of its agent.
   bool may_send(const std::string& id, const Backend& backend, const BackendNeed& need,
                 TimePoint now) const;
-  /// Agents share out what room their engines have.
+  /// Whether a credit is left. Agents divide the free capacity of their engines among gateways as
+  /// credits.
   bool has_credit(const Backend& backend, const BackendNeed& need, TimePoint now) const;
-  /// Whether more places are free there than are reserved for who can still be answered in time.
+  /// Whether more slots are free than are reserved for requests that can still be answered in time.
   bool has_unreserved_slot(const Backend& backend, const BackendNeed& need, TimePoint now) const;
-  /// Of the engines that could take the request, full or not.
+  /// The smallest overrun among the eligible engines, whether or not they have free slots.
   double min_overrun_ms(const BackendNeed& need, TimePoint now) const;
-  /// What is known of at least half of the engines of a service: an engine of which it is not known
-  /// is then an exception, and suspect.
+  /// Which telemetry exists for at least half of the subscribed engines of a service. An engine
+  /// without it is then an exception, and possibly stalled.
   struct TelemetryCoverage {
-    bool reports = false;  ///< Their agents report.
-    bool paths = false;    ///< The way to them was measured.
+    bool reports = false;  ///< Current load reports.
+    bool paths = false;    ///< Path measurements.
   };
   TelemetryCoverage telemetry_coverage(const BackendNeed& need, TimePoint now) const;
-  /// Whether its machine may stand still, or its link hold up what is sent.
+  /// Whether the engine's machine may be suspended, or its link may delay what is sent.
   bool possibly_stalled(const Backend& backend, const TelemetryCoverage& coverage,
                         TimePoint now) const;
   double expected_ms(Backend& backend, const BackendNeed& need, TimePoint now) const;
-  /// What sending there would cost, beyond the predicted wait.
+  /// Cost of sending there in milliseconds, in addition to the predicted wait.
   double routing_penalty_ms(const Backend& backend, const BackendNeed& need);
-  /// Back ends that could take the request, with a permit or a credit.
+  /// Visits the back ends that could take the request if a permit or credit is available.
   template <class Visitor>
   void for_each_candidate(const BackendNeed& need, const std::set<std::string>& excluded,
                           TimePoint now, Visitor visit);
@@ -232,7 +244,7 @@
   std::optional<std::set<Address>> subscribed_engines_;
   std::map<std::string, std::uint64_t> departures_;  ///< Revisions by id.
   std::deque<BackendDeparture> departure_order_;
-  TimePoint list_reachable_since_{};  ///< When the list could be read again.
+  TimePoint list_reachable_since_{};  ///< When the list last became readable again.
   bool list_reachable_ = true;
   std::minstd_rand random_;
 };
--- a/src/gateway/backends/backend_probe.cpp
+++ b/src/gateway/backends/backend_probe.cpp
@@ -5,7 +5,8 @@
 namespace pumicemast {
 namespace {
 
-/// Several round trips between regions (6 ms each); well before the process may be back.
+/// Bounds a connection attempt. It allows several round trips between regions (6 ms each) and ends
+/// well before a restarted process could listen again.
 constexpr Duration kProbeTimeout = milliseconds(500);
 
 }  // namespace
--- a/src/gateway/backends/backend_probe.h
+++ b/src/gateway/backends/backend_probe.h
@@ -1,4 +1,4 @@
-/// Finds out whether a process still listens at a back end's address.
+/// Checks whether a process still listens at a back end's address.
 #pragma once
 
 #include <functional>
@@ -14,12 +14,13 @@
 
 class BackendProbes {
  public:
-  /// @param on_refused  the machine answers, and nothing listens at the back end's address.
+  /// @param on_refused  called when the machine refuses the connection: no process listens at the
+  ///                    back end's address.
   explicit BackendProbes(std::function<void(const std::string& backend)> on_refused);
   ~BackendProbes();
 
-  /// Opens a connection and closes it again; one at a time to each back end. One that does not
-  /// come up in time, as behind a cut, says nothing.
+  /// Opens a connection and closes it again, one at a time to each back end. An attempt that times
+  /// out, for example behind a network partition, has no result.
   void start(const std::string& backend, const Address& address);
 
  private:
--- a/src/gateway/backends/engine_subset.h
+++ b/src/gateway/backends/engine_subset.h
@@ -1,8 +1,8 @@
-/// Which engines a gateway hears of and sends to.
+/// Selects the engines whose load a gateway receives and to which it sends.
 ///
-/// A pure function: no I/O. All of its own zone, and some of each other zone, for when its own has
-/// too few. Were every gateway told the load of every engine, messages would grow with the product
-/// of their numbers.
+/// A pure function: no I/O. Selects all engines of the gateway's zone, and some of each other zone
+/// for when the own zone has too few. If every gateway received the load of every engine, the
+/// number of messages would grow with the product of gateways and engines.
 #pragma once
 
 #include <string>
@@ -20,13 +20,14 @@
 };
 
 struct EngineSubsetOptions {
-  /// Engines of each other zone: enough that no engine is left to few gateways by chance, and that
-  /// a gateway whose own zone is lost still chooses among several.
+  /// Number of engines selected in each other zone. It is high enough that no engine is selected by
+  /// only a few gateways by chance, and that a gateway that loses its own zone still has a choice.
   std::size_t per_other_zone = 8;
 };
 
-/// Ranks by hash of both: gateways choose differently, so that all engines are chosen about alike,
-/// and an engine that leaves moves nothing but its own place.
+/// Ranks the engines of other zones by a hash of gateway and engine (rendezvous hashing). Gateways
+/// select different engines, so that all engines are selected about equally often, and an engine
+/// that leaves changes nothing but its own position.
 std::vector<EngineLocation> choose_engines(PeerId gateway, const std::string& zone,
                                            const std::vector<EngineLocation>& engines,
                                            EngineSubsetOptions options = {});
--- a/src/gateway/backends/weight_targets.cpp
+++ b/src/gateway/backends/weight_targets.cpp
@@ -5,8 +5,9 @@
 namespace pumicemast {
 namespace {
 
-/// A version that was found late binds no sooner than this. Bringing it to the back ends takes
-/// as long on the usual deployments; binding at once would leave no room at all meanwhile.
+/// Minimum time between the discovery of a version and its becoming mandatory. Distribution to the
+/// back ends takes about that long in usual deployments; a version that became mandatory at once
+/// would leave no back end that may start requests meanwhile.
 constexpr Duration kMinimumNotice = milliseconds(3000);
 
 }  // namespace
--- a/src/gateway/backends/weight_targets.h
+++ b/src/gateway/backends/weight_targets.h
@@ -1,7 +1,8 @@
-/// Which version of a model's weights requests may still start on.
+/// Decides on which versions of a model's weights requests may still start.
 ///
-/// A decision core: no I/O. For a while after a new version is named, older ones may start
-/// requests, so that back ends can change over in turn; then only the new one may.
+/// A decision core: no I/O. A version is named when the configuration makes it the target. For the
+/// changeover period after that, requests may still start on older versions, so that back ends can
+/// switch one after the other; then they may start only on the new one.
 #pragma once
 
 #include <cstdint>
@@ -18,36 +19,37 @@
   std::string model;
   std::uint64_t version = 0;
   Duration age = Duration::zero();
-  bool assumed = false;  ///< The age is a guess, on the safe side.
+  bool assumed = false;  ///< The age is a conservative estimate.
 };
 
 class WeightTargets {
  public:
-  /// @param changeover  how long after its naming older versions may start requests.
+  /// @param changeover  how long after a version was named requests may start on older ones.
   explicit WeightTargets(Duration changeover) : changeover_(changeover) {}
 
   void set_changeover(Duration changeover) { changeover_ = changeover; }
-  /// How long after a naming requests on older versions may still begin at a back end. Later than
-  /// the changeover by the time that a request may be on its way or wait there.
+  /// Sets how long after a version was named requests on older ones may still start at a back end.
+  /// It is longer than the changeover by the time that a request may be in transit or queued there.
   void set_start_bound(Duration start_bound) { start_bound_ = start_bound; }
-  /// `version` of `model` was named at `named_at`. The newest never goes back; an older one that
-  /// is heard of later still binds at its own time.
-  /// @param assumed  the time is a guess, which a known one replaces.
-  /// @return whether the version is the newest, and new here.
+  /// Records that `version` of `model` was named at `named_at`. The newest version never decreases;
+  /// an older one that is learned later still becomes mandatory at its own time.
+  /// @param assumed  `named_at` is an estimate, which a known time replaces.
+  /// @return whether the version is the newest one and was unknown here.
   bool on_named(const std::string& model, std::uint64_t version, TimePoint named_at,
                 bool assumed = false);
-  /// When a version is taken to be named that was found now and named at most `oldest` ago: as
-  /// early as can be, because requests must not begin on older ones beyond their time; but not so
-  /// early that back ends have no time to change over (kMinimumNotice).
+  /// Estimates when a version was named that was discovered now and named at most `oldest` ago. The
+  /// estimate is the earliest possible time, so that requests do not start on older versions for
+  /// too long, but leaves back ends time to change over (kMinimumNotice).
   TimePoint assumed_named_at(Duration oldest, TimePoint now) const;
-  /// How long ago the newest version was named; zero when there is none.
+  /// Time since the newest version was named; zero when there is none.
   Duration age(const std::string& model, TimePoint now) const;
-  /// All namings that still matter, to pass on: by model, then by version.
+  /// All named versions that may still start requests, for other gateways: by model, then by
+  /// version.
   std::vector<NamedWeights> known_versions(TimePoint now) const;
-  /// The lowest version on which a request for `model` may start now; 0 for any.
+  /// The oldest version on which a request for `model` may start now; 0 for any.
   std::uint64_t lowest_allowed(const std::string& model, TimePoint now) const;
   std::uint64_t newest(const std::string& model) const;
-  /// Whether a request for `model` that has not begun on `version` by `at` must not begin there.
+  /// Whether a request for `model` that has not started on `version` by `at` must not start there.
   bool start_forbidden(const std::string& model, std::uint64_t version, TimePoint at) const;
 
  private:
--- a/tests/gateway/backends/backend_limits_test.cpp
+++ b/tests/gateway/backends/backend_limits_test.cpp
@@ -38,11 +38,11 @@
     answer(2, start, start);
     answer({}, start - milliseconds(1), start + seconds(9));
     CPPUNIT_ASSERT(limits.limited("e1"));
-    // Named again since: an answer that was asked for before that says nothing.
+    // The limit was stated again since then: a response to a request from before that is ignored.
     answer(2, start + seconds(3), start + seconds(4));
     answer({}, start + seconds(3), start + seconds(9));
     CPPUNIT_ASSERT(limits.limited("e1"));
-    // Two answers that overtake each other.
+    // Two responses that overtake each other.
     answer({}, start + seconds(4) + milliseconds(1), start + seconds(4) + milliseconds(20));
     CPPUNIT_ASSERT(limits.limited("e1"));
   }
@@ -61,7 +61,7 @@
     CPPUNIT_ASSERT_EQUAL(1.0, *limits.limit_of("e1").per_second);
     limits.on_reported("e1", {{}, start + seconds(3)}, LimitSource::gateway);
     CPPUNIT_ASSERT(!limits.limited("e1"));
-    // That none is named says nothing of a back end that never named one.
+    // A report without a limit has no effect for a back end that never stated one.
     limits.on_reported("e2", {{}, start}, LimitSource::gateway);
     CPPUNIT_ASSERT(limits.limited().empty());
   }
--- a/tests/gateway/backends/backend_permits_test.cpp
+++ b/tests/gateway/backends/backend_permits_test.cpp
@@ -63,7 +63,7 @@
     permits.request("e1", now);
     permits.take_messages(now);
     const PermitAnswer granted = answer(true);
-    // This process stood still.
+    // This process was suspended.
     now += seconds(3);
     permits.on_answer(granted, now);
     CPPUNIT_ASSERT(!permits.held("e1", now));
@@ -86,7 +86,7 @@
     CPPUNIT_ASSERT(permits.can_request("e1", now + milliseconds(150)));
   }
 
-  // Its answer may be lost, and the permit with it.
+  // The answer may be lost, and with it a granted permit.
   void an_unanswered_request_is_reported_unused_until_the_issuer_answers() {
     const TimePoint first = now;
     permits.request("e1", now);
@@ -99,7 +99,7 @@
       CPPUNIT_ASSERT(messages[0].given_back.front() == first);
       now += milliseconds(200);
     }
-    // A late answer to what was given back is not used.
+    // A late answer to a request whose permit was reported as unused grants no permit.
     permits.on_answer({"e1", first, true, Duration::zero(), {}}, now);
     CPPUNIT_ASSERT(!permits.held("e1", now));
     permits.request("e1", now);
@@ -117,12 +117,12 @@
       world.ask("/chat/1");
       CPPUNIT_ASSERT_EQUAL(std::string("e2"), world.sent_to());
     }
-    // Also a retry, which needs no credit: the other engine has cut it off.
+    // A retry needs no credit, but it needs a permit, too: the other engine refused the request.
     const RequestNumber request = world.ask("/chat/1");
     world.head(request, 503, true);
     world.complete(request);
     CPPUNIT_ASSERT_EQUAL(std::string(), world.sent_to());
-    // With a permit it is as good as any.
+    // With a permit, the limited engine is chosen like any other.
     world.pool.permits().request("e1", world.now);
     world.pool.permits().on_answer({"e1", world.now, true, Duration::zero(), {}}, world.now);
     world.report(2, 0, 1, 4);
@@ -139,7 +139,7 @@
     }
     world.ask("/chat/1");
     CPPUNIT_ASSERT_EQUAL(std::string(), world.sent_to());
-    // One permit for the one request that waits.
+    // One permit is requested for the one waiting request.
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world.pool.permits().outstanding(world.now));
     world.tick(milliseconds(100));
     const auto* refusal = world.first<RefuseCaller>();
--- a/tests/gateway/backends/backend_pool_test.cpp
+++ b/tests/gateway/backends/backend_pool_test.cpp
@@ -44,8 +44,9 @@
   BackendNeed need;
 
  public:
-  // A back end accepts so many connections from all callers together, and resets the rest: those
-  // that rested at 149 gateways kept out whoever wanted to send.
+  // A back end accepts a limited number of connections from all callers together and resets the
+  // rest. The idle connections of 149 gateways used up that number, so that new requests were
+  // reset.
   void idle_connections_leave_room_for_all_gateways() {
     ServiceProfile service;
     for (const std::uint32_t maximum : {48U, 96U, 628U}) {
@@ -64,7 +65,7 @@
 
   void setUp() override { need.service = &configuration.services[1]; }
 
-  /// It holds no weights, and is neither as loaded nor as unreliable as it was.
+  /// Neither its weights, nor its load, nor its failures are carried over.
   void an_engine_restarted_under_its_id_inherits_no_state() {
     use_engines();
     world.pool.on_sent("e1", 500, world.now);
@@ -76,10 +77,10 @@
     restarted.weight_version = 0;
     world.pool.on_record(restarted);
     CPPUNIT_ASSERT(!world.pool.leaving("e1"));
-    CPPUNIT_ASSERT_EQUAL(std::string(), choose());  // It holds nothing yet.
+    CPPUNIT_ASSERT_EQUAL(std::string(), choose());  // It has no weights yet.
     world.report(1, 4, 1);
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
-    world.pool.on_finished("e1");  // Of its earlier life.
+    world.pool.on_finished("e1");  // A request to the earlier incarnation.
   }
 
   void a_late_entry_of_an_earlier_incarnation_is_ignored() {
@@ -97,7 +98,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
   }
 
-  /// Nobody tells this gateway how loaded it is, or which weights it serves.
+  /// The gateway receives neither its load nor the version of its weights.
   void an_unsubscribed_engine_gets_nothing() {
     use_engines();
     world.report(1, 4, 1);
@@ -107,7 +108,8 @@
     CPPUNIT_ASSERT(!world.pool.has_weights(need.service->name, 0, world.now));
   }
 
-  /// Of three engines one reports, which is half of the two that are watched: the other is suspect.
+  /// One of three engines reports, which is half of the two subscribed ones: the other subscribed
+  /// engine is possibly stalled.
   void unsubscribed_engines_do_not_count_as_silent() {
     use_engines();
     world.add_backend("e2", "engines", 2, 1);
@@ -143,7 +145,8 @@
     world.pool.on_list_reachable(true, world.now);
     world.pool.on_removed("e1", ++world.revision, world.now);
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
-    CPPUNIT_ASSERT(world.pool.recent_departures().empty());  // Others must not take it for leaving.
+    CPPUNIT_ASSERT(
+        world.pool.recent_departures().empty());  // Other gateways must not be told that it left.
     world.now += milliseconds(1900);
     world.report(1, 4, 1);
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
@@ -162,7 +165,7 @@
     world.report(1, 4, 1);
     world.pool.on_removed("e1", ++world.revision, world.now);
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
-    world.now += milliseconds(1400);  // 2.3 s after the return.
+    world.now += milliseconds(1400);  // 2.3 s after the list became reachable.
     world.report(1, 4, 1);
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
   }
@@ -201,7 +204,7 @@
       world.pool.on_sent("e1", 10, world.now);
     }
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
-    need.urgent = true;  // What was sent before goes on all the same.
+    need.urgent = true;  // A retry needs no credit.
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
   }
 
@@ -231,7 +234,7 @@
   }
 
   void unreserved_only_requests_leave_reserved_slots_free() {
-    use_engines();  // Of four places.
+    use_engines();  // With four slots.
     need.unreserved_only = true;
     world.report(1, 2, 1, 2);
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
@@ -246,7 +249,7 @@
     world.add_backend("e2", "engines", 2, 1);
     world.report(2, 0, 1, 4);
     world.now += seconds(1);
-    world.report(2, 0, 1, 4);  // Full, but alive; nothing is heard of e1.
+    world.report(2, 0, 1, 4);  // Full, but alive; e1 does not report.
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
   }
 
@@ -255,7 +258,7 @@
     world.now += seconds(10);
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
     world.pool.on_sent("e1", 10, world.now);
-    // What other gateways send there is guessed from what this one does.
+    // The load from other gateways is estimated from this gateway's requests.
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
   }
 
@@ -267,12 +270,13 @@
     world.pool.on_path_delay(address, milliseconds(400), world.now);
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
     world.pool.on_path_delay(address, milliseconds(5), world.now);
-    world.now += milliseconds(1300);  // A measurement that doesn't come is a delay, too.
+    world.now += milliseconds(1300);  // A missing measurement counts as a delay.
     world.report(1, 4, 1);
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
   }
 
-  /// As after its entry lapsed and came back: its reports are fresh, its link may be narrow.
+  /// This is the state after its entry expired and came back: its reports are current, but its link
+  /// may be narrow.
   void an_engine_whose_path_alone_was_never_measured_gets_nothing_new() {
     use_engines();
     world.pool.on_path_delay({"127.0.0.1", 1}, milliseconds(2), world.now);
@@ -322,7 +326,7 @@
     use_two_engines(milliseconds(200), milliseconds(1800));
     need.answer_tokens = 250;
     CPPUNIT_ASSERT_EQUAL(std::string("e2"), choose());
-    // A full engine is no way out: the request waits instead of keeping the other from its turn.
+    // If that engine is full, the request waits. It does not delay the other engine's changeover.
     world.report(2, 0, 1, 4);
     CPPUNIT_ASSERT_EQUAL(std::string(""), choose());
   }
@@ -373,7 +377,7 @@
     world.add_backend("e1", "engines", 1, 1);
     world.report(1, 4, 1);
   }
-  /// Two engines; e2 is busier, so that e1 is taken unless its leaving speaks against it.
+  /// Adds two engines; e2 is busier, so that e1 is chosen unless it leaves too soon.
   void use_two_engines(std::optional<Duration> first_leaves,
                        std::optional<Duration> second_leaves) {
     use_engines();
--- a/tests/gateway/backends/engine_subset_test.cpp
+++ b/tests/gateway/backends/engine_subset_test.cpp
@@ -53,8 +53,8 @@
     CPPUNIT_ASSERT_EQUAL(few.size(), choose_engines(7, "elsewhere", few).size());
   }
 
-  /// 149 gateways before 120 engines: messages are sent for 8,300 pairs in place of 17,900, and no
-  /// engine is left to few.
+  /// With 149 gateways and 120 engines, messages are sent for 8,300 pairs instead of 17,900, and no
+  /// engine is selected by only a few gateways.
   void every_engine_is_chosen_by_about_as_many_gateways() {
     std::map<std::string, int> gateways;
     std::size_t pairs = 0;
--- a/tests/gateway/backends/limited_fleet_test.cpp
+++ b/tests/gateway/backends/limited_fleet_test.cpp
@@ -1,8 +1,8 @@
-// What users saw: an engine that had named a limit of 1 request a second got 20 in 4 s from six
-// gateways that it had told. Order of events: engines were added, two named limits, and nothing
-// changed in what they were sent. Cause: no gateway read the limit; and each could only have kept
-// it by itself, so that 6 of them would have sent six times as much. Evidence: the engines'
-// requests by second are the same before and after the naming, and as many as their neighbours'.
+// Guards against gateways that exceed the request limit of an engine. An engine with a stated limit
+// of 1 request per second got 20 requests in 4 s from six gateways to which it had stated the
+// limit: no gateway read the limit, so that the engine's rate stayed the same as before and as that
+// of its neighbours. Had each gateway enforced the limit alone, the six would have sent six times
+// as much.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <cmath>
@@ -41,7 +41,7 @@
     return static_cast<int>(std::floor(limit * kWindowS + kBurst + 1e-9));
   }
 
-  /// Names the limit under load, and runs on until it must hold.
+  /// Sets the limit under load, and runs until it must hold.
   static TimePoint name(LimitedFleet& fleet, double limit, Duration before = seconds(2)) {
     fleet.run(before);
     fleet.set_limit(limit);
@@ -81,7 +81,7 @@
       for (const double limit : {0.2, 1.0, 1.4, 5.0, 50.0}) {
         LimitedFleetOptions options;
         options.gateways = gateways;
-        // So that some caller always wants what there is, also where one comes every five seconds.
+        // The load always exceeds the limit, also where the limit is one request in five seconds.
         options.requests_per_s = std::max(10.0, 2 * limit);
         LimitedFleet fleet(options);
         const TimePoint since = name(fleet, limit);
@@ -118,7 +118,7 @@
     name(fleet, 1);
     fleet.reset_results();
     fleet.run(seconds(20));
-    // The other engines have room for all.
+    // The other engines have capacity for all requests.
     CPPUNIT_ASSERT(fleet.results().served >= 0.99 * fleet.results().asked);
 
     options.limited = 6;
@@ -128,12 +128,12 @@
     all.run(seconds(20));
     CPPUNIT_ASSERT(all.results().rate_limited > 0);
     CPPUNIT_ASSERT_EQUAL(0, all.results().refused);
-    // Within the wait for room, not near the deadline.
+    // Refusals come within the time that a request waits for capacity, well before its deadline.
     CPPUNIT_ASSERT(all.results().longest_refusal <= milliseconds(150));
   }
 
-  // The ways that were weighed, side by side; the check is shown to fail where nobody holds the
-  // sum.
+  // Compares the ways to share the limit, and shows that the check fails where each gateway
+  // enforces the limit alone.
   void gateways_that_each_enforce_the_limit_alone_exceed_it() {
     constexpr double kLimit = 50;
     for (const std::size_t gateways : {7U, 40U, 149U}) {
@@ -201,7 +201,7 @@
       fleet.restart_agent(0);
       fleet.run(seconds(5));
     }
-    check_kept(fleet, 1, 2, since, "agent started anew");
+    check_kept(fleet, 1, 2, since, "agent restarts");
   }
 
   void a_changed_limit_takes_effect() {
@@ -209,21 +209,21 @@
     options.requests_per_s = 100;
     LimitedFleet fleet(options);
     name(fleet, 20);
-    const TimePoint falls = name(fleet, 2, seconds(0));
+    const TimePoint lowered_at = name(fleet, 2, seconds(0));
     fleet.run(seconds(20));
-    check_kept(fleet, 1, 2, falls, "fallen");
-    check_used(fleet, 1, 2, falls, "fallen");
-    const TimePoint rises = name(fleet, 40, seconds(0));
+    check_kept(fleet, 1, 2, lowered_at, "lowered limit");
+    check_used(fleet, 1, 2, lowered_at, "lowered limit");
+    const TimePoint raised_at = name(fleet, 40, seconds(0));
     fleet.run(seconds(20));
-    check_kept(fleet, 1, 40, rises, "risen");
-    check_used(fleet, 1, 40, rises, "risen");
-    // Flaps between two values every second: never above the higher one.
-    const TimePoint flaps = fleet.now();
+    check_kept(fleet, 1, 40, raised_at, "raised limit");
+    check_used(fleet, 1, 40, raised_at, "raised limit");
+    // With a limit that alternates every second, the higher value is never exceeded.
+    const TimePoint alternating_since = fleet.now();
     for (int second = 0; second < 20; ++second) {
       fleet.set_limit(second % 2 == 0 ? 5 : 40);
       fleet.run(seconds(1));
     }
-    check_kept(fleet, 1, 40, flaps + seconds(4), "flapping");
+    check_kept(fleet, 1, 40, alternating_since + seconds(4), "alternating limit");
   }
 
   void an_engine_with_limit_zero_still_gets_a_few_requests() {
@@ -232,7 +232,7 @@
     LimitedFleet fleet(options);
     const TimePoint since = name(fleet, 0);
     fleet.run(seconds(60));
-    check_kept(fleet, 1, 0, since, "nothing");
+    check_kept(fleet, 1, 0, since, "limit 0");
     CPPUNIT_ASSERT(fleet.arrived(0, since) >= 6);
     fleet.set_limit({});
     fleet.run(seconds(12));
@@ -260,7 +260,7 @@
   void permit_messages_stay_within_the_control_budget() {
     // A frame with one permit request or answer.
     constexpr double kMessageBytes = 120;
-    // What a node may use for control.
+    // Control traffic that one node may use.
     constexpr double kBytesPerSecond = 30000;
     for (const std::size_t gateways : {7U, 149U}) {
       LimitedFleetOptions options;
