--- a/src/gateway/quarantine/crash_correlator.cpp
+++ b/src/gateway/quarantine/crash_correlator.cpp
@@ -5,12 +5,14 @@
 namespace pumicemast {
 namespace {
 
-/// Between a connection's end and the word that the process ended: an agent's interval of asking,
-/// its patience with an engine that says nothing, and the way here.
+/// Longest time between the end of a connection and the report of the process exit. It covers an
+/// agent's polling interval, its timeout for an engine that does not answer, and the transit time
+/// of the report.
 constexpr Duration kConfirmationTimeout = milliseconds(1500);
-/// Agents that ask their engines by turns tell of ends at one moment within such a span.
+/// Process exits at the same moment are reported within this span, because agents poll their
+/// engines at different times.
 constexpr Duration kBurstSpan = milliseconds(200);
-/// Fewer that end within the span are taken for a coincidence.
+/// Fewer exits within the span are treated as a coincidence.
 constexpr std::ptrdiff_t kMinimumBurstSize = 3;
 
 }  // namespace
@@ -47,7 +49,8 @@
   std::vector<BackendCrash> result = std::move(unreported_);
   unreported_.clear();
   for (BackendCrash& crash : result) crash.in_burst = in_burst(crash.at);
-  // The ends of a crowd are told one after the other.
+  // The exits of a burst are reported one after the other, so that a crash that was already taken
+  // may turn out to be part of a burst.
   std::erase_if(taken_as_single_, [&](BackendCrash& crash) {
     if (!in_burst(crash.at)) return now - crash.at > kBurstSpan * 2;
     crash.in_burst = true;
--- a/src/gateway/quarantine/crash_correlator.h
+++ b/src/gateway/quarantine/crash_correlator.h
@@ -1,10 +1,10 @@
-/// Tells which requests ran on a back end whose process ended.
+/// Finds the requests that were running on a back end when its process exited.
 ///
-/// A decision core: no I/O. A connection that breaks off says little by itself: a link, a drain or
-/// a fault of one answer do it as well. Only together with the word that the process ended, within
-/// a moment, is it evidence. That word comes from the agent on the engine's machine, which lives on
-/// when the engine alone ends; a machine without power or behind a cut gives none. Plain services
-/// have no agent: there a refused connection says it.
+/// A decision core: no I/O. A broken connection alone is weak evidence: a link failure, a drain or
+/// a fault in one response break it as well. It counts as a crash only if the exit of the process
+/// is reported within a short time. For an engine, the report comes from the agent on its machine,
+/// which keeps running when only the engine exits; a machine that lost power or its network sends
+/// none. Plain services have no agent: there a refused connection shows that the process exited.
 #pragma once
 
 #include <map>
@@ -17,27 +17,28 @@
 
 namespace pumicemast {
 
-/// A back end's process ended while these requests ran there.
+/// The exit of a back end's process while these requests were running there.
 struct BackendCrash {
   BackendLife backend;
   TimePoint at{};
   std::vector<RequestFingerprint> requests;
-  /// Several back ends ended at that moment: what ended them may be common to them all.
+  /// Several back ends exited at about the same time, possibly for a common cause.
   bool in_burst = false;
 };
 
 class CrashCorrelator {
  public:
-  /// The attempt of a request broke off before its answer was whole.
+  /// An attempt of a request ended before its response was complete.
   void on_response_interrupted(const BackendLife& backend, const RequestFingerprint& request,
                                TimePoint now);
-  /// The back end's process ended, whatever ran there.
+  /// The back end's process exited, with or without requests running.
   void on_process_exit(const std::string& backend, TimePoint now);
-  /// What was found since the last call; once more what has turned out to be one of a crowd.
+  /// Returns the crashes found since the last call, and again those taken before that have turned
+  /// out to be part of a burst.
   std::vector<BackendCrash> take_crashes(TimePoint now);
-  /// Whether it may yet turn out that a process ended under the request.
+  /// Whether a report that the back end exited under the request may still arrive.
   bool awaits_confirmation(const RequestFingerprint& request, TimePoint now) const;
-  /// Forgets what was not confirmed in time. Call now and then.
+  /// Drops interrupted responses that were not confirmed in time. Call periodically.
   void sweep(TimePoint now);
 
  private:
@@ -50,10 +51,10 @@
   bool in_burst(TimePoint at) const;
 
   std::map<std::string, std::vector<InterruptedResponse>>
-      interrupted_;                            ///< By id, without word of the end.
-  std::map<std::string, TimePoint> exited_;    ///< By id: ended a moment ago.
+      interrupted_;                            ///< By id; no exit reported yet.
+  std::map<std::string, TimePoint> exited_;    ///< Recent exits, by id.
   std::vector<BackendCrash> unreported_;       ///< Not taken yet.
-  std::vector<BackendCrash> taken_as_single_;  ///< A moment ago, as alone.
+  std::vector<BackendCrash> taken_as_single_;  ///< Recently, not in a burst.
 };
 
 }  // namespace pumicemast
--- a/src/gateway/quarantine/crash_messages.h
+++ b/src/gateway/quarantine/crash_messages.h
@@ -1,4 +1,4 @@
-/// What gateways tell each other of crashes, on the wire.
+/// Encodes and decodes the crash updates that gateways exchange.
 #pragma once
 
 #include "gateway/quarantine/crash_update.h"
--- a/src/gateway/quarantine/crash_update.cpp
+++ b/src/gateway/quarantine/crash_update.cpp
@@ -7,13 +7,14 @@
 namespace pumicemast {
 namespace {
 
-/// Entries a second, of about 40 bytes each to 8 gateways: 20 KB/s at most, of the 30 KB/s that a
-/// node may use for control.
+/// Entries sent per second. At about 40 bytes each, to 8 gateways, this is at most 20 KB/s of the
+/// 30 KB/s that a node may use for control traffic.
 constexpr double kEntriesPerSecond = 64;
-/// An engine of 16 slots ends under 16 requests: a dozen engines may end at once.
+/// Entries that may be sent at once. An engine with 16 slots crashes under 16 requests, so this is
+/// enough for a dozen engines that crash at the same time.
 constexpr double kEntryBurst = 200;
-/// What waits; beyond it the least urgent is dropped. Other gateways miss single ends then, and
-/// convict later.
+/// Bounds each queue. Beyond it, the least urgent crash or the oldest completion is dropped: other
+/// gateways then miss single crashes and quarantine a request later.
 constexpr std::size_t kMaximumQueuedEntries = 4096;
 
 }  // namespace
@@ -44,7 +45,7 @@
     const auto [reported, inserted] = by_event.try_emplace({entry.event.backend, entry.event.at});
     ReportedCrash& crash = reported->second;
     crash.backend = entry.event.backend;
-    // An end may wait here twice, once with what was learnt of it later.
+    // A crash may be queued twice, the second time with what was learned about it later.
     crash.in_burst = crash.in_burst || entry.event.in_burst;
     crash.observer_warming_up =
         entry.event.observer_warming_up && (inserted || crash.observer_warming_up);
--- a/src/gateway/quarantine/crash_update.h
+++ b/src/gateway/quarantine/crash_update.h
@@ -1,4 +1,5 @@
-/// What gateways tell each other of requests under which back ends end.
+/// Crash updates: what gateways tell each other about requests that were running when back ends
+/// crashed.
 ///
 /// A decision core: no I/O.
 #pragma once
@@ -12,16 +13,16 @@
 
 namespace pumicemast {
 
-/// The end of a back end's process.
+/// The exit of a back end's process while requests were running there.
 struct CrashEvent {
-  std::uint64_t backend = 0;  ///< A hash of its life: no two crashes have the same.
+  std::uint64_t backend = 0;  ///< Hash of the back end's incarnation, unique for each crash.
   TimePoint at{};
-  bool in_burst = false;  ///< One of several at that moment.
-  /// Seen by a gateway that did not know yet which requests end well.
+  bool in_burst = false;  ///< Several back ends exited at about the same time.
+  /// The observing gateway did not know yet which requests complete.
   bool observer_warming_up = false;
 };
 
-/// An end of a back end, as one gateway tells another.
+/// A crash, as one gateway reports it to another.
 struct ReportedCrash {
   std::uint64_t backend = 0;  ///< As in CrashEvent.
   Duration age = Duration::zero();
@@ -30,29 +31,33 @@
   bool observer_warming_up = false;  ///< As in CrashEvent.
 };
 
-/// A suspect's answer that was whole: its back end did not end.
+/// A complete response to a request with recorded crashes: this time the back end survived it.
 struct ReportedCompletion {
   RequestFingerprint request;
   Duration age = Duration::zero();
 };
 
-/// One message.
+/// One message between gateways.
 struct CrashUpdate {
   std::vector<ReportedCrash> crashes;
   std::vector<ReportedCompletion> completions;
   bool empty() const { return crashes.empty() && completions.empty(); }
 };
 
-/// Gathers what is new, and bounds what of it is told in a second.
+/// Queues new crashes and completions for other gateways, and limits the rate at which they are
+/// sent.
 class CrashUpdateQueue {
  public:
   CrashUpdateQueue();
 
-  /// @param ends_known  under the request: the more, the sooner it is told.
+  /// @param known_crashes  number of crashes recorded for the request: entries with more of them
+  /// are
+  ///                       sent first.
   void add_crash(const RequestFingerprint& request, const CrashEvent& event,
                  std::size_t known_crashes);
   void add_completion(const RequestFingerprint& request, TimePoint at);
-  /// What is to be told now; empty while the bound is reached. The rest waits.
+  /// Returns the entries to be sent now; empty when the rate limit is reached. The rest stays
+  /// queued.
   CrashUpdate take(TimePoint now);
 
  private:
--- a/src/gateway/quarantine/request_fingerprint.cpp
+++ b/src/gateway/quarantine/request_fingerprint.cpp
@@ -19,7 +19,7 @@
   return name;
 }
 
-/// With its length before it, so that no two lists of parts are the same bytes.
+/// Adds the length before the part, so that different lists of parts never give the same bytes.
 void update_part(Sha256Stream& digest, std::string_view part) {
   const std::uint64_t length = part.size();
   std::array<char, sizeof(length)> bytes{};
--- a/src/gateway/quarantine/request_quarantine.cpp
+++ b/src/gateway/quarantine/request_quarantine.cpp
@@ -7,23 +7,26 @@
 namespace pumicemast {
 namespace {
 
-/// Of one request. With three to convict, the longest hold is that of the first verdict 32 times.
+/// Bounds the crashes recorded for one request. With a threshold of three crashes, the longest hold
+/// is 32 times the first one.
 constexpr std::size_t kMaximumCrashesPerRequest = 8;
-/// Two ends of a crowd are told within such a span: of agents that ask by turns, over links that
-/// differ, by gateways that each see the moment for themselves.
+/// Two crashes of one burst are reported within this span. Agents poll their engines at different
+/// times, links differ in delay, and each gateway takes the time of a crash by itself.
 constexpr Duration kBurstReportSpan = milliseconds(400);
-/// For how long a whole answer speaks for its request. Long enough for a request that many callers
-/// send, some of them through each gateway; short, because new weights may make a killer of one
-/// that has run well: until then its ends count for nothing.
+/// How long after a complete response crashes are not attributed to its request. It is long enough
+/// for a request that many callers send, some through each gateway. It is short because a request
+/// that completed on old weights may crash back ends with new ones, and until then its crashes
+/// don't count.
 constexpr Duration kCompletionRetention = seconds(15);
-/// After its start a gateway knows this long too little of what ends well: until requests that were
-/// under way when it began have mostly been answered.
+/// Minimum time after its start before a gateway has seen enough complete responses: by then most
+/// requests that were in flight at the start have been answered.
 constexpr Duration kWarmUpAfterStart = seconds(2);
-/// The same from the first whole answer that it sees: engines may be back later than gateways.
+/// Minimum time after the first complete response that a gateway sees, because engines may come
+/// back later than gateways.
 constexpr Duration kWarmUpAfterFirstResponse = seconds(1);
-/// Of one such span; 100 requests a second reach a busy gateway.
+/// Bounds the completions kept for one retention span; a busy gateway gets 100 requests per second.
 constexpr std::size_t kMaximumCompletionsPerSpan = 4096;
-/// Requests of which one message tells the evidence, about 80 bytes each.
+/// Requests whose evidence fits into one message, at about 80 bytes each.
 constexpr std::size_t kMaximumVerdictsPerMessage = 256;
 
 }  // namespace
@@ -66,7 +69,7 @@
       std::find_if(record.crashes.begin(), record.crashes.end(),
                    [&](const RecordedCrash& seen) { return seen.event.backend == event.backend; });
   if (known != record.crashes.end()) {
-    // One gateway hears of more back ends than another, or has run for longer.
+    // Another gateway may have seen more back ends exit, or may have run for longer.
     const bool joins_burst = event.in_burst && !known->event.in_burst;
     const bool observer_warmed_up = !event.observer_warming_up && known->event.observer_warming_up;
     if (!joins_burst && !observer_warmed_up) return false;
@@ -95,7 +98,8 @@
     seen.discounted = true;
     changed = true;
   }
-  // Only what changes a verdict is told on: the moment moves a little with each telling.
+  // Only a change is passed on. The time of a completion shifts a little each time it is passed on,
+  // so that passing on every new time would never end.
   if (changed) updates_.add_completion(request, at);
   return changed;
 }
@@ -217,7 +221,8 @@
 }
 
 void RequestQuarantine::sweep(TimePoint now) {
-  // A verdict that has run out stays as a suspicion for as long again.
+  // The crashes of a quarantine that has expired are kept for as long again, so that one more crash
+  // starts it anew.
   std::erase_if(records_, [&](const auto& entry) {
     const Record& record = entry.second;
     const bool was_over_threshold = record.counted_crashes() >= options_.crash_threshold;
--- a/src/gateway/quarantine/request_quarantine.h
+++ b/src/gateway/quarantine/request_quarantine.h
@@ -1,22 +1,28 @@
-/// Decides which requests are run no more, because back ends end when they run them.
+/// Decides which requests are no longer run because they crash back ends.
 ///
-/// A decision core: no I/O. Each gateway keeps what it and the others have seen: under which
-/// requests a back end ended, and which of these ended well elsewhere. What is kept only grows by
-/// union, so that gateways that hear of the same in any order come to the same verdict.
+/// A decision core: no I/O. Each gateway records what it and the others have observed: which
+/// requests were running when a back end crashed, and which of them completed elsewhere. Records
+/// are merged by union only, so that gateways that receive the same observations in any order reach
+/// the same verdict.
 ///
 /// Invariants:
-/// - a request is in quarantine only after `ends_to_convict` different ends of back ends under it,
-///   none of them followed by an answer to it that was whole;
-/// - no end of a machine, link or agent counts, only that of a back end's process alone;
-/// - an end in a crowd counts only for a request that was under another one of the crowd: what has
-///   ended all of them at a moment (a bad rollout, an operator) was not a request that one ran;
-/// - of a gateway that has only begun to see whole answers no end in a crowd counts: it can't know
-///   yet which requests end well, and one that many callers send is under every end of the crowd;
-/// - a request that ended well a moment before is no suspect: one that many callers send at a time
-///   is under way at each back end, and so under every end;
-/// - memory is bounded, however many requests end back ends.
+/// - a request is quarantined only after `crash_threshold` different crashes while it was running,
+///   none of them followed by a complete response to it;
+/// - only the exit of a back end's process counts, not the failure of a machine, link or agent;
+/// - a crash in a burst counts only for a request that was also running in another crash of the
+/// same
+///   burst: a common cause (a bad rollout, an operator) is not a request that only one of them ran;
+/// - a crash in a burst does not count if the observing gateway is still warming up: it can't know
+/// yet
+///   which requests complete, and a request that many callers send is running in each of the
+///   crashes;
+/// - crashes shortly after a complete response to a request are not attributed to it: a request
+/// that
+///   many callers send is in flight at every back end, and so running in every crash;
+/// - memory is bounded, however many requests crash back ends.
 ///
-/// Why three ends: a back end that ends breaks off all that it runs, and most of that is innocent.
+/// The threshold is three because a crash interrupts all requests that a back end is running, most
+/// of which did not cause it.
 #pragma once
 
 #include <cstdint>
@@ -35,87 +41,89 @@
 
 struct QuarantineOptions {
   std::size_t crash_threshold = 3;
-  /// From the third end on, and twice as long with each further one. Then the request is run again,
-  /// and one more end convicts again: one that is sent all day costs a few engines, and a wrong
-  /// verdict heals by itself.
+  /// Duration of the quarantine that starts when the threshold is reached; doubled with each
+  /// further crash. After it the request is run again, and one more crash starts the quarantine
+  /// anew. A request that is sent all day therefore crashes only a few engines, and a wrong verdict
+  /// expires.
   Duration hold = seconds(600);
-  /// Requests that are kept; about 200 bytes each. When there are more, those with the fewest ends
-  /// are forgotten first, of these the oldest.
+  /// Maximum number of recorded requests, at about 200 bytes each. Beyond it, the request with the
+  /// fewest counted crashes is evicted, among equals the oldest.
   std::size_t capacity = 4096;
 };
 
-/// A request in quarantine, for operators.
+/// A quarantined request, as listed for operators.
 struct QuarantinedRequest {
   RequestFingerprint request;
   std::size_t crashes = 0;
-  Duration held_for = Duration::zero();  ///< From now on.
+  Duration held_for = Duration::zero();  ///< Remaining time of the quarantine.
 };
 
 class RequestQuarantine {
  public:
-  /// @param started  of this process; the least time: it has learnt what ends well.
+  /// @param started  start of this process; TimePoint::min() skips the warm-up.
   explicit RequestQuarantine(QuarantineOptions options = {}, TimePoint started = TimePoint::min());
 
-  /// Seen by this gateway.
+  /// Handles a crash that this gateway observed.
   void on_crash(const BackendCrash& crash);
-  /// An answer to the request was whole.
+  /// The request got a complete response through this gateway.
   void on_completed(const RequestFingerprint& request, TimePoint now);
-  /// Told by another gateway; what is new is told on.
-  /// @return whether anything was.
+  /// Merges an update from another gateway; whatever is new is queued for other gateways.
+  /// @return whether anything was new.
   bool on_update(const CrashUpdate& update, TimePoint now);
 
-  /// Ends of back ends under the request that speak against it.
+  /// Number of crashes that count against the request.
   std::size_t crash_count(const RequestFingerprint& request) const;
   bool quarantined(const RequestFingerprint& request, TimePoint now) const;
   std::vector<QuarantinedRequest> list(TimePoint now) const;
-  /// Requests that no verdict holds for: operators know better. The evidence is kept.
+  /// Sets the requests that operators have exempted from quarantine. Their evidence is kept.
   void set_pardoned(std::set<RequestFingerprint> requests) { pardoned_ = std::move(requests); }
   void set_hold(Duration hold) { options_.hold = hold; }
   std::size_t crash_threshold() const { return options_.crash_threshold; }
 
-  /// What has come since the last call, for other gateways.
+  /// Returns what is to be sent to other gateways now.
   CrashUpdate take_update(TimePoint now) { return updates_.take(now); }
-  /// Requests whose quarantine has begun since the last call.
+  /// Returns the requests whose quarantine has started since the last call.
   std::vector<RequestFingerprint> take_newly_quarantined();
-  /// What a gateway that knows nothing is to be told: the evidence of the verdicts, of the newest
-  /// where there are many.
+  /// Returns the evidence for the verdicts, for a gateway that has none; limited to the newest.
   CrashUpdate verdicts(TimePoint now) const;
-  /// Differs where the verdicts do.
+  /// Digest of the quarantined requests; gateways whose digests differ have different verdicts.
   std::uint64_t verdict_digest(TimePoint now) const;
-  /// Forgets what has no weight any more. Call now and then.
+  /// Drops records that no longer affect a verdict. Call periodically.
   void sweep(TimePoint now);
 
  private:
   struct RecordedCrash {
     CrashEvent event;
-    bool discounted = false;  ///< A whole answer came later: it does not count.
+    bool discounted = false;  ///< Does not count: a complete response followed.
   };
   struct Record {
     std::vector<RecordedCrash> crashes;  ///< In the order in which they became known.
-    /// Like the ends, it may lie before the clock of this machine began.
+    /// Time of the last complete response. Like the times of crashes, it may be before the start of
+    /// this machine's clock.
     std::optional<TimePoint> completed_at;
-    /// Ends that no whole answer came after, and that are not one of a crowd's by themselves.
+    /// Number of crashes that are not discounted and not single crashes of a burst.
     std::size_t counted_crashes() const;
-    /// Of all that is known.
+    /// Time of the last recorded crash or completion.
     TimePoint last_event_at() const;
   };
 
-  /// @return whether it was not known before.
+  /// @return whether the crash, or something about it, was not known before.
   bool add_crash(const RequestFingerprint& request, const CrashEvent& event);
-  /// @return whether an end counted until now.
+  /// Discounts the crashes until `at`, when a response to the request was complete.
+  /// @return whether a crash was not discounted before.
   bool discount_crashes(const RequestFingerprint& request, TimePoint at);
   bool over_threshold(const Record& record, TimePoint now) const;
-  /// From the last end on.
+  /// Duration of the quarantine, counted from last_event_at().
   Duration hold_duration(const Record& record) const;
   void make_room();
 
   QuarantineOptions options_;
   TimePoint started_;
-  /// From then on this process knows what ends well; none while it has not seen a whole answer.
+  /// End of the warm-up; empty until this process has seen a complete response.
   std::optional<TimePoint> warmed_up_at_;
   std::map<RequestFingerprint, Record> records_;
   std::set<RequestFingerprint> pardoned_;
-  /// Requests that this gateway has seen to end well.
+  /// Requests with a recent complete response through this gateway.
   RecentSet<RequestFingerprint, RequestFingerprintHash> recently_completed_;
   CrashUpdateQueue updates_;
   std::vector<RequestFingerprint> newly_quarantined_;
--- a/src/gateway/quarantine/verdict_pull.h
+++ b/src/gateway/quarantine/verdict_pull.h
@@ -1,8 +1,9 @@
-/// Decides when a gateway asks another one for its verdicts on requests that end back ends.
+/// Decides when a gateway requests the verdicts of another one on requests that crash back ends.
 ///
-/// A decision core: no I/O. News of single ends reach all gateways at once, but for one that has
-/// just begun, or was cut off or stood still. Digests that differ show it. Two gateways may differ
-/// for long without harm (one forgot what the other has room for): then they ask ever more rarely.
+/// A decision core: no I/O. Reports of single crashes reach all gateways at once, except one that
+/// has just started, was disconnected or was suspended. Differing digests reveal this. Two gateways
+/// may differ for a long time without harm, for example when one of them evicted a record that the
+/// other kept; in that case the interval between requests grows.
 #pragma once
 
 #include <algorithm>
@@ -15,8 +16,8 @@
 
 class VerdictPull {
  public:
-  /// A gateway told its digest; `own` is the digest here.
-  /// @return whether to ask it now.
+  /// Compares the digest that a gateway reported with the own one.
+  /// @return whether to request its verdicts now.
   bool should_request(std::uint64_t gateway, std::uint64_t peer_digest, std::uint64_t own_digest,
                       TimePoint now) {
     if (peer_digest == own_digest || peer_digest == 0) return false;
@@ -29,7 +30,8 @@
   }
 
  private:
-  /// Digests come twice a second: the answer is to have arrived by the next but one.
+  /// Time to wait before the verdicts are requested again. Digests arrive twice a second, so that
+  /// the answer has time to arrive until the second digest after the request.
   static constexpr Duration kInitialBackoff = milliseconds(900);
   static constexpr Duration kMaximumBackoff = seconds(120);
 
--- a/tests/gateway/quarantine/crash_correlator_test.cpp
+++ b/tests/gateway/quarantine/crash_correlator_test.cpp
@@ -58,7 +58,7 @@
   void several_process_exits_within_the_span_are_a_burst() {
     correlator_.on_response_interrupted(kE1, kFirst, now_);
     correlator_.on_process_exit("e1", now_ + milliseconds(20));
-    correlator_.on_process_exit("e2", now_ + milliseconds(100));  // Whatever ran there.
+    correlator_.on_process_exit("e2", now_ + milliseconds(100));  // With or without requests.
     correlator_.on_process_exit("e3", now_ + milliseconds(140));
     correlator_.on_response_interrupted(kE2, kSecond, now_ + milliseconds(150));
     const auto crashes = correlator_.take_crashes(now_ + milliseconds(400));
@@ -95,7 +95,7 @@
     pool.on_report(kEngine, report(true, 1000), now_);
     CPPUNIT_ASSERT(!pool.on_report(kEngine, report(true, 1000), now_));
     CPPUNIT_ASSERT(pool.on_report(kEngine, report(true, 2000), now_) == "e1");
-    // One that does not say when it was started is not taken for another.
+    // A report without a start time does not count as a restart.
     CPPUNIT_ASSERT(!pool.on_report(kEngine, report(true, 0), now_));
   }
 
@@ -103,7 +103,7 @@
     BackendPool pool = pool_with_engine();
     pool.on_report(kEngine, report(true, 1000), now_);
     pool.on_agent_lost(kEngine);
-    // The machine was without power: its agent is another one, and its engine too.
+    // The machine lost power: both its agent and its engine are new processes.
     CPPUNIT_ASSERT(!pool.on_report(kEngine, report(false, 0), now_));
   }
 
--- a/tests/gateway/quarantine/request_quarantine_test.cpp
+++ b/tests/gateway/quarantine/request_quarantine_test.cpp
@@ -56,7 +56,7 @@
       crash("e1");
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, quarantine_.crash_count(kRequest));
-    // The same id again, started anew: another end.
+    // The same id after a restart: another crash.
     quarantine_.on_crash({{"e1", 2000}, now_, {kRequest}});
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, quarantine_.crash_count(kRequest));
   }
@@ -67,7 +67,7 @@
     now_ += seconds(1);
     quarantine_.on_completed(kRequest, now_);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, quarantine_.crash_count(kRequest));
-    // Told late of what was outlived.
+    // A late report of a crash before the completion.
     quarantine_.on_update({{{7, seconds(2), {kRequest}}}, {}}, now_);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, quarantine_.crash_count(kRequest));
     now_ += seconds(1);
@@ -93,7 +93,7 @@
       now_ += seconds(2);
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, quarantine_.crash_count(kRequest));
-    // It was under several ends of one crowd: it may well have made it.
+    // A request that was running in several crashes of one burst may have caused it.
     for (const char* backend : {"f1", "f2", "f3"}) {
       quarantine_.on_crash({{backend, 1}, now_, {kRequest}, true});
       now_ += milliseconds(60);
@@ -107,7 +107,8 @@
       warming_up.on_crash({{backend, 1000}, now_, {kRequest}, true});
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, warming_up.crash_count(kRequest));
-    // Nor where it is told; what an older gateway has seen of the same ends counts there.
+    // Its reports don't count at another gateway either; those of a warmed-up gateway of the same
+    // crashes do.
     quarantine_.on_update(warming_up.take_update(now_), now_);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, quarantine_.crash_count(kRequest));
     for (const char* backend : {"e1", "e2", "e3"}) {
@@ -116,7 +117,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, quarantine_.crash_count(kRequest));
     warming_up.on_update(quarantine_.take_update(now_), now_);
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, warming_up.crash_count(kRequest));
-    // Ends that are no crowd count at once.
+    // Crashes outside a burst count at once.
     RequestQuarantine another({}, now_);
     for (const char* backend : {"e1", "e2", "e3"}) {
       another.on_crash({{backend, 1000}, now_, {kRequest}});
@@ -124,8 +125,8 @@
     CPPUNIT_ASSERT(another.quarantined(kRequest, now_));
   }
 
-  // Other gateways were told of an end twice in one message, alone and in a crowd, and the first
-  // word of it held.
+  // When one message contained a crash twice, first as single and then as part of a burst, other
+  // gateways kept the first entry.
   void a_crash_that_turns_out_to_be_in_a_burst_is_reported_so() {
     crash("e1");
     quarantine_.on_crash({{"e1", 1000}, now_, {kRequest}, true});
@@ -142,7 +143,7 @@
     quarantine_.sweep(now_);
     CPPUNIT_ASSERT(!quarantine_.quarantined(kRequest, now_));
     crash("e4");
-    now_ += seconds(1199);  // Twice as long now.
+    now_ += seconds(1199);  // The hold is doubled.
     CPPUNIT_ASSERT(quarantine_.quarantined(kRequest, now_));
     now_ += seconds(1);
     CPPUNIT_ASSERT(!quarantine_.quarantined(kRequest, now_));
@@ -151,13 +152,15 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, quarantine_.crash_count(kRequest));
   }
 
-  // Many callers send it, so that it is under way at all engines that another request ends.
+  // Many callers send the request, so that it is running on every engine that another request
+  // crashes.
   void a_popular_request_that_completed_recently_is_not_blamed() {
     quarantine_.on_completed(kRequest, now_);
     now_ += seconds(1);
     quarantine_request();
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, quarantine_.crash_count(kRequest));
-    // No answer was whole for long: it may have become one, with new weights.
+    // There was no complete response for a long time: with new weights, the request may crash back
+    // ends.
     now_ += seconds(30);
     quarantine_request();
     CPPUNIT_ASSERT(quarantine_.quarantined(kRequest, now_));
@@ -168,7 +171,7 @@
     const std::uint64_t digest = quarantine_.verdict_digest(now_);
     quarantine_.set_pardoned({kRequest});
     CPPUNIT_ASSERT(!quarantine_.quarantined(kRequest, now_));
-    // The evidence stays: gateways whose settings differ go on agreeing on it.
+    // The evidence is kept: gateways with different settings still agree on it.
     CPPUNIT_ASSERT_EQUAL(digest, quarantine_.verdict_digest(now_));
     quarantine_.set_pardoned({});
     CPPUNIT_ASSERT(quarantine_.quarantined(kRequest, now_));
@@ -199,7 +202,7 @@
     }
   }
 
-  // Ages are told, and the clock of a machine counts from its start.
+  // Updates contain ages, and the clock of a machine counts from its boot.
   void a_machine_that_just_booted_accepts_verdicts_older_than_its_clock() {
     const TimePoint just_started{seconds(2)};
     RequestQuarantine started;
@@ -221,7 +224,7 @@
     quarantine_.on_completed(kRequest, now_);
     const CrashUpdate update = quarantine_.take_update(now_);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, update.completions.size());
-    // It comes back by way of others, some milliseconds older.
+    // The update comes back through other gateways, some milliseconds older.
     for (int echo = 0; echo < 5; ++echo) {
       now_ += milliseconds(20);
       CPPUNIT_ASSERT(!quarantine_.on_update(update, now_));
@@ -303,10 +306,10 @@
     world.tick(milliseconds(25));
     CPPUNIT_ASSERT(world.first<CancelAttempt>() != nullptr);
     CPPUNIT_ASSERT_EQUAL(waiting, world.first<CancelAttempt>()->request);
-    // It may have begun by now: nothing is said of not having run.
+    // The attempt may have started meanwhile: the refusal does not say that it was not run.
     CPPUNIT_ASSERT_EQUAL(502, world.refused_with());
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world.forwarder.active());
-    // Its answer comes well: the verdict was wrong.
+    // The response completes: the verdict was wrong.
     world.body(begun, "id: 2\ndata: y\n\n");
     world.complete(begun);
     CPPUNIT_ASSERT(world.first<EndAnswer>() != nullptr);
@@ -354,7 +357,7 @@
   void quarantine_request() {
     for (const char* backend : {"e1", "e2", "e3"}) crash(backend);
   }
-  /// Of what GatewayWorld asks there.
+  /// Fingerprint of the request that GatewayWorld::ask() sends to `target`.
   static RequestFingerprint fingerprint(const std::string& target) {
     return fingerprint_for(fingerprint_content("POST", "api.example", target, ""), "acme");
   }
