--- a/src/gateway/backends/backend_choice.cpp
+++ b/src/gateway/backends/backend_choice.cpp
@@ -21,19 +21,20 @@
 
 }  // namespace
 
-bool BackendPool::is_eligible(const Backend& backend, const BackendNeed& need,
+bool BackendPool::is_eligible(const Backend& backend, const BackendRequirements& requirements,
                               TimePoint now) const {
   const BackendRecord& record = backend.record;
-  if (record.service != need.service->name || record.draining) return false;
+  if (record.service != requirements.service->name || record.draining) return false;
   if (now < backend.backoff_until || !usable(backend, now)) return false;
-  if (!need.service->engine) return true;
+  if (!requirements.service->engine) return true;
   if (!subscribed(backend)) return false;
-  if (record.weight_version == 0 || record.weight_version < need.lowest_version) return false;
+  if (record.weight_version == 0 || record.weight_version < requirements.lowest_version)
+    return false;
   return !has_fresh_report(backend, now) || (backend.report.alive && !backend.report.busy);
 }
 
 double BackendPool::engine_wait_ms(Backend& backend, const EngineProfile& engine,
-                                   const BackendNeed& need, TimePoint now) const {
+                                   const BackendRequirements& requirements, TimePoint now) const {
   const bool report_is_fresh = has_fresh_report(backend, now);
   const TimePoint known_until = backend.reported_at - kReportTransit;
   while (!backend.sent.empty() && (backend.sent.front() <= known_until ||
@@ -50,11 +51,13 @@
     load.running = backend.in_flight * options_.gateway_count;
     load.pending_tokens = backend.pending_prompt_tokens * options_.gateway_count;
   }
-  return predict_first_token_ms(engine, load, need.prompt_tokens);
+  return predict_first_token_ms(engine, load, requirements.prompt_tokens);
 }
 
-double BackendPool::expected_ms(Backend& backend, const BackendNeed& need, TimePoint now) const {
-  if (need.service->engine) return engine_wait_ms(backend, *need.service->engine, need, now);
+double BackendPool::expected_ms(Backend& backend, const BackendRequirements& requirements,
+                                TimePoint now) const {
+  if (requirements.service->engine)
+    return engine_wait_ms(backend, *requirements.service->engine, requirements, now);
   return backend.in_flight * kPlainRequestMs;
 }
 
@@ -63,25 +66,30 @@
   return backend.report.running + backend.report.queued + static_cast<double>(backend.sent.size());
 }
 
-bool BackendPool::has_credit(const Backend& backend, const BackendNeed& need, TimePoint now) const {
-  if (!need.service->engine || need.urgent) return true;
+bool BackendPool::has_credit(const Backend& backend, const BackendRequirements& requirements,
+                             TimePoint now) const {
+  if (!requirements.service->engine || requirements.urgent) return true;
   if (!has_fresh_report(backend, now)) return occupied_slots(backend, now) < backend.record.slots;
   return backend.sent.size() < backend.report.credit;
 }
 
-bool BackendPool::has_unreserved_slot(const Backend& backend, const BackendNeed& need,
+bool BackendPool::has_unreserved_slot(const Backend& backend,
+                                      const BackendRequirements& requirements,
                                       TimePoint now) const {
-  if (!need.unreserved_only || !need.service->engine || need.urgent) return true;
-  return occupied_slots(backend, now) + 1 <= need.service->engine->slots * (1 - kReservedShare);
+  if (!requirements.unreserved_only || !requirements.service->engine || requirements.urgent)
+    return true;
+  return occupied_slots(backend, now) + 1 <=
+         requirements.service->engine->slots * (1 - kReservedShare);
 }
 
-double BackendPool::overrun_ms(const Backend& backend, const BackendNeed& need, double wait_ms,
-                               TimePoint now) const {
-  if (!need.service->engine || !has_fresh_report(backend, now) || !backend.report.leaves_in)
+double BackendPool::overrun_ms(const Backend& backend, const BackendRequirements& requirements,
+                               double wait_ms, TimePoint now) const {
+  if (!requirements.service->engine || !has_fresh_report(backend, now) || !backend.report.leaves_in)
     return 0;
-  const EngineProfile& engine = *need.service->engine;
+  const EngineProfile& engine = *requirements.service->engine;
   const double usual_tokens = std::max(1.0, engine.usual_answer_tokens);
-  const double tokens = need.answer_tokens > 0 ? need.answer_tokens : engine.usual_answer_tokens;
+  const double tokens =
+      requirements.answer_tokens > 0 ? requirements.answer_tokens : engine.usual_answer_tokens;
   // Each response that ends makes room for one prompt, whose prefill delays the running requests.
   // That time is spread over the tokens of a response.
   const double others_prefill_ms = backend.report.running * engine.usual_prompt_tokens *
@@ -92,24 +100,24 @@
   return std::max(0.0, answer_ms - to_seconds(leaves_at - now) * kMillisecondsPerSecond);
 }
 
-double BackendPool::min_overrun_ms(const BackendNeed& need, TimePoint now) const {
+double BackendPool::min_overrun_ms(const BackendRequirements& requirements, TimePoint now) const {
   std::optional<double> least;
   for (const auto& [id, backend] : backends_) {
-    if (!is_eligible(backend, need, now)) continue;
-    const double overrun = overrun_ms(backend, need, 0, now);
+    if (!is_eligible(backend, requirements, now)) continue;
+    const double overrun = overrun_ms(backend, requirements, 0, now);
     least = least ? std::min(*least, overrun) : overrun;
   }
   return least.value_or(0);
 }
 
-BackendPool::TelemetryCoverage BackendPool::telemetry_coverage(const BackendNeed& need,
-                                                               TimePoint now) const {
-  if (!need.service->engine) return {};
+BackendPool::TelemetryCoverage BackendPool::telemetry_coverage(
+    const BackendRequirements& requirements, TimePoint now) const {
+  if (!requirements.service->engine) return {};
   std::size_t engines = 0;
   std::size_t reporting = 0;
   std::size_t measured = 0;
   for (const auto& [id, backend] : backends_) {
-    if (backend.record.service != need.service->name || backend.removed) continue;
+    if (backend.record.service != requirements.service->name || backend.removed) continue;
     if (!subscribed(backend)) continue;
     ++engines;
     if (has_fresh_report(backend, now)) ++reporting;
@@ -129,48 +137,52 @@
   return coverage.paths && backend.path_measured_at == TimePoint{};
 }
 
-bool BackendPool::may_send(const std::string& id, const Backend& backend, const BackendNeed& need,
-                           TimePoint now) const {
+bool BackendPool::may_send(const std::string& id, const Backend& backend,
+                           const BackendRequirements& requirements, TimePoint now) const {
   // Urgent requests need a permit, too: a back end that limits its requests counts all of them.
   if (limits_.limited(id)) return permits_.held(id, now);
-  return has_credit(backend, need, now);
+  return has_credit(backend, requirements, now);
 }
 
-double BackendPool::routing_penalty_ms(const Backend& backend, const BackendNeed& need) {
+double BackendPool::routing_penalty_ms(const Backend& backend,
+                                       const BackendRequirements& requirements) {
   std::uniform_real_distribution<double> tie_break(0, kTieBreakMs);
   double cost = tie_break(random_);
   if (backend.record.zone != options_.zone) cost += options_.other_zone_ms;
-  if (need.preferred_version != 0 && backend.record.weight_version != need.preferred_version) {
+  if (requirements.preferred_version != 0 &&
+      backend.record.weight_version != requirements.preferred_version) {
     cost += kMillisecondsPerSecond;
   }
   return cost;
 }
 
 template <class Visitor>
-void BackendPool::for_each_candidate(const BackendNeed& need, const std::set<std::string>& excluded,
-                                     TimePoint now, Visitor visit) {
-  const TelemetryCoverage coverage = telemetry_coverage(need, now);
-  const double max_overrun_ms = min_overrun_ms(need, now) + options_.overrun_tolerance_ms;
+void BackendPool::for_each_candidate(const BackendRequirements& requirements,
+                                     const std::set<std::string>& excluded, TimePoint now,
+                                     Visitor visit) {
+  const TelemetryCoverage coverage = telemetry_coverage(requirements, now);
+  const double max_overrun_ms = min_overrun_ms(requirements, now) + options_.overrun_tolerance_ms;
   for (auto& [id, backend] : backends_) {
-    if (!is_eligible(backend, need, now) || excluded.contains(id)) continue;
-    const double wait_ms = expected_ms(backend, need, now);
-    if (!has_unreserved_slot(backend, need, now)) continue;
+    if (!is_eligible(backend, requirements, now) || excluded.contains(id)) continue;
+    const double wait_ms = expected_ms(backend, requirements, now);
+    if (!has_unreserved_slot(backend, requirements, now)) continue;
     // A single long response keeps an engine from its new weights and from all other requests.
-    if (overrun_ms(backend, need, wait_ms, now) > max_overrun_ms) continue;
+    if (overrun_ms(backend, requirements, wait_ms, now) > max_overrun_ms) continue;
     if (possibly_stalled(backend, coverage, now)) continue;
     visit(id, backend, wait_ms);
   }
 }
 
-std::optional<BackendChoice> BackendPool::choose(const BackendNeed& need,
+std::optional<BackendChoice> BackendPool::choose(const BackendRequirements& requirements,
                                                  const std::set<std::string>& excluded,
                                                  TimePoint now) {
   std::optional<BackendChoice> best;
   double best_cost = 0;
   for_each_candidate(
-      need, excluded, now, [&](const std::string& id, const Backend& backend, double wait_ms) {
-        if (!may_send(id, backend, need, now)) return;
-        const double cost = wait_ms + routing_penalty_ms(backend, need);
+      requirements, excluded, now,
+      [&](const std::string& id, const Backend& backend, double wait_ms) {
+        if (!may_send(id, backend, requirements, now)) return;
+        const double cost = wait_ms + routing_penalty_ms(backend, requirements);
         if (best && cost >= best_cost) return;
         best_cost = cost;
         best = BackendChoice{id, backend.record.address, backend.record.weight_version, wait_ms};
@@ -178,15 +190,16 @@
   return best;
 }
 
-void BackendPool::request_permit(const BackendNeed& need, const std::set<std::string>& excluded,
-                                 std::size_t waiting, TimePoint now) {
+void BackendPool::request_permit(const BackendRequirements& requirements,
+                                 const std::set<std::string>& excluded, std::size_t waiting,
+                                 TimePoint now) {
   if (permits_.outstanding(now) >= waiting) return;
   std::optional<std::string> best;
   double best_cost = 0;
-  for_each_candidate(need, excluded, now,
+  for_each_candidate(requirements, excluded, now,
                      [&](const std::string& id, const Backend& backend, double wait_ms) {
                        if (!limits_.limited(id) || !permits_.can_request(id, now)) return;
-                       const double cost = wait_ms + routing_penalty_ms(backend, need);
+                       const double cost = wait_ms + routing_penalty_ms(backend, requirements);
                        if (best && cost >= best_cost) return;
                        best_cost = cost;
                        best = id;
--- a/src/gateway/backends/backend_limits.cpp
+++ b/src/gateway/backends/backend_limits.cpp
@@ -22,7 +22,7 @@
 }
 
 void BackendLimits::on_response(const std::string& backend, const StatedRateLimit& stated,
-                                bool served, TimePoint asked_at, TimePoint now) {
+                                bool served, TimePoint sent_at, TimePoint now) {
   if (!stated.readable) {
     ++unreadable_;
     return;
@@ -34,8 +34,8 @@
   }
   const RateLimit known = limit_of(backend);
   if (!known.named() || !served) return;
-  const bool asked_later = asked_at > known.observed_at;
-  if (asked_later && now - known.observed_at >= kLimitRemovalDelay)
+  const bool sent_later = sent_at > known.observed_at;
+  if (sent_later && now - known.observed_at >= kLimitRemovalDelay)
     update_limit(backend, {{}, now}, LimitSource::answer);
 }
 
--- a/src/gateway/backends/backend_limits.h
+++ b/src/gateway/backends/backend_limits.h
@@ -29,11 +29,11 @@
 class BackendLimits {
  public:
   /// Handles a response from the back end.
-  /// @param served    whether the back end ran the request: a refusal that states no limit does not
-  ///                  show that a limit has ended.
-  /// @param asked_at  when the request was sent.
+  /// @param served   whether the back end ran the request: a refusal that states no limit does not
+  ///                 show that a limit has ended.
+  /// @param sent_at  when the request was sent.
   void on_response(const std::string& backend, const StatedRateLimit& stated, bool served,
-                   TimePoint asked_at, TimePoint now);
+                   TimePoint sent_at, TimePoint now);
   /// Handles an observation by the back end's agent or by another gateway: a limit, or none.
   void on_reported(const std::string& backend, const RateLimit& limit, LimitSource source);
   /// Call when the back end was removed or restarted.
--- a/src/gateway/backends/backend_permits.cpp
+++ b/src/gateway/backends/backend_permits.cpp
@@ -54,8 +54,8 @@
   const auto found = entries_.find(answer.backend);
   if (found == entries_.end()) return;
   Entry& entry = found->second;
-  std::erase_if(entry.given_back, [&](const UnusedPermit& given) {
-    return given.reported_in && *given.reported_in <= answer.asked_at;
+  std::erase_if(entry.unused_permits, [&](const UnusedPermit& permit) {
+    return permit.reported_in && *permit.reported_in <= answer.asked_at;
   });
   const bool was_abandoned = entry.asked_at != answer.asked_at;
   if (!was_abandoned) entry.asked_at.reset();
@@ -94,25 +94,25 @@
 
 void BackendPermits::abandon_request(Entry& entry) {
   if (!entry.asked_at) return;
-  entry.given_back.push_back({*entry.asked_at, {}});
+  entry.unused_permits.push_back({*entry.asked_at, {}});
   entry.asked_at.reset();
 }
 
 void BackendPermits::queue_return(Entry& entry, TimePoint held_until) {
   ++entry.unreported_returns;
-  entry.given_back.push_back({held_until - kPermitLifetime, {}});
+  entry.unused_permits.push_back({held_until - kPermitLifetime, {}});
 }
 
 PermitMessage BackendPermits::make_message(const std::string& backend, Entry& entry,
                                            bool requests_permit, TimePoint now) {
-  std::erase_if(entry.given_back, [now](const UnusedPermit& given) {
-    return now - given.asked_at > kReturnRetention;
+  std::erase_if(entry.unused_permits, [now](const UnusedPermit& permit) {
+    return now - permit.asked_at > kReturnRetention;
   });
   PermitMessage message{
       backend, entry.asked_at.value_or(now), requests_permit, entry.unreported_returns, {}};
-  for (UnusedPermit& given : entry.given_back) {
-    if (requests_permit) given.reported_in = message.asked_at;
-    message.given_back.push_back(given.asked_at);
+  for (UnusedPermit& permit : entry.unused_permits) {
+    if (requests_permit) permit.reported_in = message.asked_at;
+    message.given_back.push_back(permit.asked_at);
   }
   entry.unreported_returns = 0;
   return message;
--- a/src/gateway/backends/backend_permits.h
+++ b/src/gateway/backends/backend_permits.h
@@ -73,7 +73,7 @@
     std::deque<TimePoint> held_until;
     TimePoint denied_until{};
     std::uint32_t unreported_returns = 0;
-    std::vector<UnusedPermit> given_back;
+    std::vector<UnusedPermit> unused_permits;
   };
   /// Gives up the pending request, which was not answered in time.
   static void abandon_request(Entry& entry);
--- a/src/gateway/backends/backend_pool.h
+++ b/src/gateway/backends/backend_pool.h
@@ -59,7 +59,7 @@
 };
 
 /// Requirements of a request on its back end.
-struct BackendNeed {
+struct BackendRequirements {
   const ServiceProfile* service = nullptr;
   double prompt_tokens = 0;
   double answer_tokens = 0;  ///< Response length that the caller expects; 0 when not stated.
@@ -127,13 +127,13 @@
   /// Returns the back end with the lowest cost (predicted wait plus routing penalty) among those
   /// that may take the request now.
   /// @param excluded  back ends that this request must not go to.
-  std::optional<BackendChoice> choose(const BackendNeed& need,
+  std::optional<BackendChoice> choose(const BackendRequirements& requirements,
                                       const std::set<std::string>& excluded, TimePoint now);
   /// Requests a permit for the cheapest back end that limits its requests, if there is one. Call
   /// when no back end may take the request now.
   /// @param waiting  number of waiting requests; no more permits than that are held or requested.
-  void request_permit(const BackendNeed& need, const std::set<std::string>& excluded,
-                      std::size_t waiting, TimePoint now);
+  void request_permit(const BackendRequirements& requirements,
+                      const std::set<std::string>& excluded, std::size_t waiting, TimePoint now);
   /// Returns the engines where this gateway's prompt backlog has changed since the last call.
   std::vector<PromptBacklog> take_changed_backlogs();
   /// Whether the back end is draining, removed or unknown.
@@ -197,43 +197,48 @@
   bool subscribed(const Backend& backend) const;
   bool has_fresh_report(const Backend& backend, TimePoint now) const;
   bool path_delayed(const Backend& backend, TimePoint now) const;
-  bool is_eligible(const Backend& backend, const BackendNeed& need, TimePoint now) const;
+  bool is_eligible(const Backend& backend, const BackendRequirements& requirements,
+                   TimePoint now) const;
   /// How long, in milliseconds, a response would still run after the engine's scheduled time to
   /// leave service.
-  double overrun_ms(const Backend& backend, const BackendNeed& need, double wait_ms,
+  double overrun_ms(const Backend& backend, const BackendRequirements& requirements, double wait_ms,
                     TimePoint now) const;
   /// Number of occupied slots of an engine, as far as it is known or estimated here.
   double occupied_slots(const Backend& backend, TimePoint now) const;
   /// Whether this gateway may send there now: with a permit if the back end has a limit, else with
   /// a credit of its agent.
-  bool may_send(const std::string& id, const Backend& backend, const BackendNeed& need,
-                TimePoint now) const;
+  bool may_send(const std::string& id, const Backend& backend,
+                const BackendRequirements& requirements, TimePoint now) const;
   /// Whether a credit is left. Agents divide the free capacity of their engines among gateways as
   /// credits.
-  bool has_credit(const Backend& backend, const BackendNeed& need, TimePoint now) const;
+  bool has_credit(const Backend& backend, const BackendRequirements& requirements,
+                  TimePoint now) const;
   /// Whether more slots are free than are reserved for requests that can still be answered in time.
-  bool has_unreserved_slot(const Backend& backend, const BackendNeed& need, TimePoint now) const;
+  bool has_unreserved_slot(const Backend& backend, const BackendRequirements& requirements,
+                           TimePoint now) const;
   /// The smallest overrun among the eligible engines, whether or not they have free slots.
-  double min_overrun_ms(const BackendNeed& need, TimePoint now) const;
+  double min_overrun_ms(const BackendRequirements& requirements, TimePoint now) const;
   /// Which telemetry exists for at least half of the subscribed engines of a service. An engine
   /// without it is then an exception, and possibly stalled.
   struct TelemetryCoverage {
     bool reports = false;  ///< Current load reports.
     bool paths = false;    ///< Path measurements.
   };
-  TelemetryCoverage telemetry_coverage(const BackendNeed& need, TimePoint now) const;
+  TelemetryCoverage telemetry_coverage(const BackendRequirements& requirements,
+                                       TimePoint now) const;
   /// Whether the engine's machine may be suspended, or its link may delay what is sent.
   bool possibly_stalled(const Backend& backend, const TelemetryCoverage& coverage,
                         TimePoint now) const;
-  double expected_ms(Backend& backend, const BackendNeed& need, TimePoint now) const;
+  double expected_ms(Backend& backend, const BackendRequirements& requirements,
+                     TimePoint now) const;
   /// Cost of sending there in milliseconds, in addition to the predicted wait.
-  double routing_penalty_ms(const Backend& backend, const BackendNeed& need);
+  double routing_penalty_ms(const Backend& backend, const BackendRequirements& requirements);
   /// Visits the back ends that could take the request if a permit or credit is available.
   template <class Visitor>
-  void for_each_candidate(const BackendNeed& need, const std::set<std::string>& excluded,
-                          TimePoint now, Visitor visit);
-  double engine_wait_ms(Backend& backend, const EngineProfile& engine, const BackendNeed& need,
-                        TimePoint now) const;
+  void for_each_candidate(const BackendRequirements& requirements,
+                          const std::set<std::string>& excluded, TimePoint now, Visitor visit);
+  double engine_wait_ms(Backend& backend, const EngineProfile& engine,
+                        const BackendRequirements& requirements, TimePoint now) const;
 
   BackendPoolOptions options_;
   std::map<std::string, Backend> backends_;
--- a/src/gateway/quarantine/request_quarantine.cpp
+++ b/src/gateway/quarantine/request_quarantine.cpp
@@ -39,7 +39,7 @@
 }
 
 std::size_t RequestQuarantine::Record::counted_crashes() const {
-  const auto near = [](const CrashEvent& one, const CrashEvent& other) {
+  const auto same_burst = [](const CrashEvent& one, const CrashEvent& other) {
     return one.backend != other.backend && std::chrono::abs(one.at - other.at) <= kBurstReportSpan;
   };
   const auto counts = [&](const RecordedCrash& seen) {
@@ -48,7 +48,7 @@
     if (seen.event.observer_warming_up) return false;
     return std::any_of(crashes.begin(), crashes.end(), [&](const RecordedCrash& other) {
       return other.event.in_burst && !other.event.observer_warming_up &&
-             near(seen.event, other.event);
+             same_burst(seen.event, other.event);
     });
   };
   return static_cast<std::size_t>(std::count_if(crashes.begin(), crashes.end(), counts));
@@ -175,16 +175,16 @@
 }
 
 CrashUpdate RequestQuarantine::verdicts(TimePoint now) const {
-  std::vector<const std::pair<const RequestFingerprint, Record>*> judged;
+  std::vector<const std::pair<const RequestFingerprint, Record>*> evidenced;
   for (const auto& entry : records_) {
-    if (entry.second.completed_at || over_threshold(entry.second, now)) judged.push_back(&entry);
+    if (entry.second.completed_at || over_threshold(entry.second, now)) evidenced.push_back(&entry);
   }
-  std::sort(judged.begin(), judged.end(), [](const auto* left, const auto* right) {
+  std::sort(evidenced.begin(), evidenced.end(), [](const auto* left, const auto* right) {
     return left->second.last_event_at() > right->second.last_event_at();
   });
-  if (judged.size() > kMaximumVerdictsPerMessage) judged.resize(kMaximumVerdictsPerMessage);
+  if (evidenced.size() > kMaximumVerdictsPerMessage) evidenced.resize(kMaximumVerdictsPerMessage);
   CrashUpdate update;
-  for (const auto* entry : judged) {
+  for (const auto* entry : evidenced) {
     const auto& [request, record] = *entry;
     for (const RecordedCrash& seen : record.crashes) {
       if (seen.discounted) continue;
--- a/src/gateway/requests/request_forwarder.cpp
+++ b/src/gateway/requests/request_forwarder.cpp
@@ -98,7 +98,7 @@
     give_up(number, session, RefusalReason::quarantined, now, actions);
     return true;
   }
-  const BackendNeed need = planner_.need_of(session, now);
+  const BackendRequirements need = planner_.need_of(session, now);
   const auto choice = pool_.choose(need, session.tried, now);
   const bool too_slow = choice && session.service->engine &&
                         choice->expected_ms > planner_.admission_limit_ms(session, now);
--- a/src/gateway/requests/request_planner.cpp
+++ b/src/gateway/requests/request_planner.cpp
@@ -45,8 +45,8 @@
   session.wait_until = session.arrived + scaled(session.route->goal, options_.wait_share);
 }
 
-BackendNeed RequestPlanner::need_of(const RequestSession& session, TimePoint now) const {
-  BackendNeed need;
+BackendRequirements RequestPlanner::need_of(const RequestSession& session, TimePoint now) const {
+  BackendRequirements need;
   need.service = session.service;
   need.prompt_tokens = session.request.prompt_tokens;
   need.answer_tokens = session.request.answer_tokens;
--- a/src/gateway/requests/request_planner.h
+++ b/src/gateway/requests/request_planner.h
@@ -20,7 +20,7 @@
   /// When its caller asked first, until when the request may wait, and until when it must be
   /// answered.
   void plan_times(RequestSession& session);
-  BackendNeed need_of(const RequestSession& session, TimePoint now) const;
+  BackendRequirements need_of(const RequestSession& session, TimePoint now) const;
   /// The longest predicted time to the first token with which the request is worth sending.
   double admission_limit_ms(const RequestSession& session, TimePoint now) const;
   /// When a caller that is turned away is to come back; zero when it is not worth it.
--- a/tests/gateway/backends/backend_limits_test.cpp
+++ b/tests/gateway/backends/backend_limits_test.cpp
@@ -17,9 +17,9 @@
   BackendLimits limits;
   const TimePoint start = TimePoint(seconds(100));
 
-  void answer(std::optional<double> per_second, TimePoint asked_at, TimePoint now,
+  void answer(std::optional<double> per_second, TimePoint sent_at, TimePoint now,
               bool served = true) {
-    limits.on_response("e1", {true, per_second}, served, asked_at, now);
+    limits.on_response("e1", {true, per_second}, served, sent_at, now);
   }
 
  public:
--- a/tests/gateway/backends/backend_pool_test.cpp
+++ b/tests/gateway/backends/backend_pool_test.cpp
@@ -41,7 +41,7 @@
 
   tests::GatewayWorld world;
   FleetConfiguration configuration = tests::GatewayWorld::configuration();
-  BackendNeed need;
+  BackendRequirements requirements;
 
  public:
   // A back end accepts a limited number of connections from all callers together and resets the
@@ -63,7 +63,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{6}, pool.max_idle_connections(service));
   }
 
-  void setUp() override { need.service = &configuration.services[1]; }
+  void setUp() override { requirements.service = &configuration.services[1]; }
 
   /// Neither its weights, nor its load, nor its failures are carried over.
   void an_engine_restarted_under_its_id_inherits_no_state() {
@@ -105,7 +105,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
     world.pool.set_subscribed_engines({});
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
-    CPPUNIT_ASSERT(!world.pool.has_weights(need.service->name, 0, world.now));
+    CPPUNIT_ASSERT(!world.pool.has_weights(requirements.service->name, 0, world.now));
   }
 
   /// One of three engines reports, which is half of the two subscribed ones: the other subscribed
@@ -204,7 +204,7 @@
       world.pool.on_sent("e1", 10, world.now);
     }
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
-    need.urgent = true;  // A retry needs no credit.
+    requirements.urgent = true;  // A retry needs no credit.
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
   }
 
@@ -235,12 +235,12 @@
 
   void unreserved_only_requests_leave_reserved_slots_free() {
     use_engines();  // With four slots.
-    need.unreserved_only = true;
+    requirements.unreserved_only = true;
     world.report(1, 2, 1, 2);
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
     world.report(1, 1, 1, 3);
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
-    need.unreserved_only = false;
+    requirements.unreserved_only = false;
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
   }
 
@@ -306,25 +306,25 @@
     world.add_backend("e2", "engines", 2, 2);
     world.report(1, 4, 1, 3);
     world.report(2, 4, 2, 0);
-    need.preferred_version = 1;
+    requirements.preferred_version = 1;
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
   }
 
   void a_long_answer_goes_where_it_ends_before_the_engine_leaves() {
     use_two_engines(milliseconds(700), std::nullopt);
-    need.answer_tokens = 250;  // 2.5 s at 10 ms a token.
+    requirements.answer_tokens = 250;  // 2.5 s at 10 ms a token.
     CPPUNIT_ASSERT_EQUAL(std::string("e2"), choose());
   }
 
   void a_short_answer_may_go_to_an_engine_that_leaves_soon() {
     use_two_engines(milliseconds(700), std::nullopt);
-    need.answer_tokens = 20;
+    requirements.answer_tokens = 20;
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
   }
 
   void when_all_engines_leave_a_long_answer_goes_to_the_least_overrun() {
     use_two_engines(milliseconds(200), milliseconds(1800));
-    need.answer_tokens = 250;
+    requirements.answer_tokens = 250;
     CPPUNIT_ASSERT_EQUAL(std::string("e2"), choose());
     // If that engine is full, the request waits. It does not delay the other engine's changeover.
     world.report(2, 0, 1, 4);
@@ -333,13 +333,13 @@
 
   void prompts_of_other_gateways_lengthen_the_expected_wait() {
     use_engines();
-    need.prompt_tokens = 1000;
+    requirements.prompt_tokens = 1000;
     const double idle_ms = expected_ms();
     world.pool.on_others_backlog({"127.0.0.1", 1}, 5000);
     EngineLoad load;
     load.pending_tokens = 5000;
     const double predicted_ms =
-        predict_first_token_ms(*configuration.services[0].engine, load, need.prompt_tokens);
+        predict_first_token_ms(*configuration.services[0].engine, load, requirements.prompt_tokens);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(predicted_ms, expected_ms(), 1e-6);
     CPPUNIT_ASSERT(predicted_ms > 2 * idle_ms);
     world.pool.on_others_backlog({"127.0.0.1", 1}, 0);
@@ -373,7 +373,7 @@
 
  private:
   void use_engines() {
-    need.service = &configuration.services[0];
+    requirements.service = &configuration.services[0];
     world.add_backend("e1", "engines", 1, 1);
     world.report(1, 4, 1);
   }
@@ -397,12 +397,12 @@
     report(2, 3, second_leaves);
   }
   double expected_ms() {
-    const auto choice = world.pool.choose(need, {}, world.now);
+    const auto choice = world.pool.choose(requirements, {}, world.now);
     CPPUNIT_ASSERT(choice.has_value());
     return choice->expected_ms;
   }
   std::string choose() {
-    const auto choice = world.pool.choose(need, {}, world.now);
+    const auto choice = world.pool.choose(requirements, {}, world.now);
     return choice ? choice->id : "";
   }
 };
