--- a/src/gateway/backends/backend_limits.h
+++ b/src/gateway/backends/backend_limits.h
@@ -1,5 +1,4 @@
-/// Tracks which back ends limit the requests of all gateways together, as far as this gateway
-/// knows.
+/// Tracks the back ends that limit the requests of all gateways together, as known to this gateway.
 ///
 /// A decision core: no I/O.
 #pragma once
--- a/src/gateway/quarantine/crash_update.h
+++ b/src/gateway/quarantine/crash_update.h
@@ -50,9 +50,8 @@
  public:
   CrashUpdateQueue();
 
-  /// @param known_crashes  number of crashes recorded for the request: entries with more of them
-  /// are
-  ///                       sent first.
+  /// @param known_crashes  number of crashes recorded for the request; entries with more are sent
+  ///                       first.
   void add_crash(const RequestFingerprint& request, const CrashEvent& event,
                  std::size_t known_crashes);
   void add_completion(const RequestFingerprint& request, TimePoint at);
--- a/src/gateway/quarantine/request_quarantine.h
+++ b/src/gateway/quarantine/request_quarantine.h
@@ -9,16 +9,12 @@
 /// - a request is quarantined only after `crash_threshold` different crashes while it was running,
 ///   none of them followed by a complete response to it;
 /// - only the exit of a back end's process counts, not the failure of a machine, link or agent;
-/// - a crash in a burst counts only for a request that was also running in another crash of the
-/// same
+/// - a crash in a burst counts only for a request that was also running in another crash of that
 ///   burst: a common cause (a bad rollout, an operator) is not a request that only one of them ran;
 /// - a crash in a burst does not count if the observing gateway is still warming up: it can't know
-/// yet
-///   which requests complete, and a request that many callers send is running in each of the
-///   crashes;
+///   yet which requests complete, and a request that many callers send is running in each crash;
 /// - crashes shortly after a complete response to a request are not attributed to it: a request
-/// that
-///   many callers send is in flight at every back end, and so running in every crash;
+///   that many callers send is in flight at every back end, and so running in every crash;
 /// - memory is bounded, however many requests crash back ends.
 ///
 /// The threshold is three because a crash interrupts all requests that a back end is running, most
@@ -86,7 +82,8 @@
   std::vector<RequestFingerprint> take_newly_quarantined();
   /// Returns the evidence for the verdicts, for a gateway that has none; limited to the newest.
   CrashUpdate verdicts(TimePoint now) const;
-  /// Digest of the quarantined requests; gateways whose digests differ have different verdicts.
+  /// Digest of the requests over the threshold, including exempted ones, so that gateways with
+  /// different settings agree on it. Differing digests show differing verdicts.
   std::uint64_t verdict_digest(TimePoint now) const;
   /// Drops records that no longer affect a verdict. Call periodically.
   void sweep(TimePoint now);
@@ -110,7 +107,7 @@
   /// @return whether the crash, or something about it, was not known before.
   bool add_crash(const RequestFingerprint& request, const CrashEvent& event);
   /// Discounts the crashes until `at`, when a response to the request was complete.
-  /// @return whether a crash was not discounted before.
+  /// @return whether any crash was newly discounted.
   bool discount_crashes(const RequestFingerprint& request, TimePoint at);
   bool over_threshold(const Record& record, TimePoint now) const;
   /// Duration of the quarantine, counted from last_event_at().
