--- a/tests/support/crash_world.cpp
+++ b/tests/support/crash_world.cpp
@@ -224,7 +224,7 @@
       if (to == from || cut_off_.contains(from) || cut_off_.contains(to)) continue;
       const std::uint64_t theirs = gateways_[from]->quarantine.verdict_digest(now_);
       const std::uint64_t own = gateways_[to]->quarantine.verdict_digest(now_);
-      if (!gateways_[to]->pull.should_ask(from, theirs, own, now_)) continue;
+      if (!gateways_[to]->pull.should_request(from, theirs, own, now_)) continue;
       send(from, to, gateways_[from]->quarantine.verdicts(now_));
     }
   }
--- a/tests/support/overload_world.cpp
+++ b/tests/support/overload_world.cpp
@@ -279,7 +279,7 @@
   for (std::size_t gateway = 0; gateway < gateways_.size(); ++gateway) {
     for (const PromptBacklog& backlog : gateways_[gateway]->pool.take_changed_backlogs()) {
       engines_[backlog.address.port - 1U]->dealer.set_unread(
-          gateway, static_cast<std::uint32_t>(backlog.unread_tokens));
+          gateway, static_cast<std::uint32_t>(backlog.pending_tokens));
     }
   }
 }
