--- a/src/gateway/backends/backend_limits.cpp
+++ b/src/gateway/backends/backend_limits.cpp
@@ -3,9 +3,9 @@
 namespace pumicemast {
 namespace {
 
-/// Answers overtake each other: one without a limit proves its end only so long after the last
-/// that named it.
-constexpr Duration kLiftDelay = seconds(1);
+/// A response without a limit ends a known limit only if it arrives at least this long after the
+/// last response that stated the limit, because responses may overtake each other.
+constexpr Duration kLimitRemovalDelay = seconds(1);
 
 }  // namespace
 
@@ -21,43 +21,44 @@
   return "unknown";
 }
 
-void BackendLimits::on_answer(const std::string& backend, const StatedRateLimit& stated,
-                              bool served, TimePoint asked_at, TimePoint now) {
+void BackendLimits::on_response(const std::string& backend, const StatedRateLimit& stated,
+                                bool served, TimePoint sent_at, TimePoint now) {
   if (!stated.readable) {
     ++unreadable_;
     return;
   }
   if (stated.per_second) {
-    note(backend, {stated.per_second, now}, LimitSource::answer);
-    beliefs_[backend].confirm(now);
+    update_limit(backend, {stated.per_second, now}, LimitSource::answer);
+    trackers_[backend].confirm(now);
     return;
   }
   const RateLimit known = limit_of(backend);
   if (!known.named() || !served) return;
-  const bool asked_later = asked_at > known.observed_at;
-  if (asked_later && now - known.observed_at >= kLiftDelay)
-    note(backend, {{}, now}, LimitSource::answer);
+  const bool sent_later = sent_at > known.observed_at;
+  if (sent_later && now - known.observed_at >= kLimitRemovalDelay)
+    update_limit(backend, {{}, now}, LimitSource::answer);
 }
 
-void BackendLimits::on_told(const std::string& backend, const RateLimit& limit,
-                            LimitSource source) {
-  note(backend, limit, source);
+void BackendLimits::on_reported(const std::string& backend, const RateLimit& limit,
+                                LimitSource source) {
+  update_limit(backend, limit, source);
 }
 
-void BackendLimits::note(const std::string& backend, const RateLimit& limit, LimitSource source) {
-  if (!limit.named() && !beliefs_.contains(backend)) return;
-  if (beliefs_[backend].on_observed(limit)) changes_.push_back({backend, limit, source});
+void BackendLimits::update_limit(const std::string& backend, const RateLimit& limit,
+                                 LimitSource source) {
+  if (!limit.named() && !trackers_.contains(backend)) return;
+  if (trackers_[backend].on_observed(limit)) changes_.push_back({backend, limit, source});
 }
 
 RateLimit BackendLimits::limit_of(const std::string& backend) const {
-  const auto found = beliefs_.find(backend);
-  return found == beliefs_.end() ? RateLimit{} : found->second.limit();
+  const auto found = trackers_.find(backend);
+  return found == trackers_.end() ? RateLimit{} : found->second.limit();
 }
 
 std::vector<std::string> BackendLimits::limited() const {
   std::vector<std::string> backends;
-  for (const auto& [backend, belief] : beliefs_) {
-    if (belief.limit().named()) backends.push_back(backend);
+  for (const auto& [backend, tracker] : trackers_) {
+    if (tracker.limit().named()) backends.push_back(backend);
   }
   return backends;
 }
--- a/src/gateway/peers/fleet_links.cpp
+++ b/src/gateway/peers/fleet_links.cpp
@@ -132,10 +132,10 @@
   return result;
 }
 
-void FleetLinks::set_engines(const std::vector<EnginePlace>& engines) {
-  const std::map<PeerId, EnginePlace> before = std::move(agents_);
+void FleetLinks::set_engines(const std::vector<EngineLocation>& engines) {
+  const std::map<PeerId, EngineLocation> before = std::move(agents_);
   agents_.clear();
-  for (const EnginePlace& engine : engines) {
+  for (const EngineLocation& engine : engines) {
     const Address agent{engine.address.host, own_address_.port};
     const PeerId peer = peer_id(agent);
     agents_[peer] = engine;
@@ -251,7 +251,7 @@
   }
 }
 
-void FleetLinks::gossip_crashes(const CrashNews& update) {
+void FleetLinks::gossip_crashes(const CrashUpdate& update) {
   const wire::RequestCrashesT message = encode(update);
   for (const PeerId peer : immediate_recipients()) links_.send(peer, message);
 }
@@ -408,7 +408,7 @@
   }
   const GossipState state = decode(digest, loop_now());
   const std::uint64_t own_verdicts = listener_.own_gossip_state().crash_verdicts;
-  if (verdict_pull_.should_ask(peer, digest.crash_verdicts(), own_verdicts, loop_now())) {
+  if (verdict_pull_.should_request(peer, digest.crash_verdicts(), own_verdicts, loop_now())) {
     links_.send(peer, wire::CrashVerdictsRequestT{});
   }
   configurations_.on_version_advertised(peer, state.configuration_version);
--- a/src/gateway/peers/fleet_links.h
+++ b/src/gateway/peers/fleet_links.h
@@ -21,7 +21,7 @@
 #include "gateway/backends/weight_targets.h"
 #include "gateway/peers/configuration_exchange.h"
 #include "gateway/peers/gateway_digest.h"
-#include "gateway/quarantine/crash_news.h"
+#include "gateway/quarantine/crash_update.h"
 #include "gateway/quarantine/verdict_pull.h"
 #include "limits/permit_issuer.h"
 #include "transport/peer_links.h"
@@ -51,9 +51,9 @@
   /// The list of back ends as known here, and its revision.
   virtual BackendChanges own_backend_list(ListScope scope) = 0;
   virtual GossipState own_gossip_state() = 0;
-  virtual void on_crash_update(const CrashNews& update) = 0;
+  virtual void on_crash_update(const CrashUpdate& update) = 0;
   /// The evidence behind all requests in quarantine here.
-  virtual CrashNews own_verdicts() = 0;
+  virtual CrashUpdate own_verdicts() = 0;
   virtual void on_permit_request(PeerId gateway, const PermitRequest& request) = 0;
   virtual void on_permit_answer(PeerId issuer, const PermitAnswer& answer) = 0;
 };
@@ -68,7 +68,7 @@
   bool start();
   /// Sets the engines whose load this gateway subscribes to. Each is assumed to have an agent on
   /// its host, at the port of the own address.
-  void set_engines(const std::vector<EnginePlace>& engines);
+  void set_engines(const std::vector<EngineLocation>& engines);
   /// Sets the revision of the list of back ends as known here.
   void set_list_revision(std::uint64_t revision) { list_revision_ = revision; }
   /// Relays changes that this gateway read from the store to the gateways and agents of the zone.
@@ -108,7 +108,7 @@
   void announce_weights(const std::string& model, std::uint64_t version);
   /// Sends to some gateways which requests were running when back ends crashed; each forwards what
   /// was new to it.
-  void gossip_crashes(const CrashNews& update);
+  void gossip_crashes(const CrashUpdate& update);
   void send(PeerId issuer, const PermitRequest& request);
   void send(PeerId gateway, const PermitAnswer& answer);
   /// The agent of a back end, if this gateway subscribes to its reports.
@@ -159,7 +159,7 @@
   FleetLinksListener& listener_;
   PeerLinks links_;
   /// The engine of each agent whose reports this gateway subscribes to.
-  std::map<PeerId, EnginePlace> agents_;
+  std::map<PeerId, EngineLocation> agents_;
   /// Agents whose links were lost since weights were announced to them.
   std::set<PeerId> agents_to_resend_to_;
   std::map<PeerId, Gateway> gateways_;
--- a/src/gateway/peers/fleet_state.cpp
+++ b/src/gateway/peers/fleet_state.cpp
@@ -128,7 +128,7 @@
 
 void FleetState::update_engines() {
   if (!routes_) return;
-  std::vector<EnginePlace> engines;
+  std::vector<EngineLocation> engines;
   std::map<Address, wire::EngineDescriptionT> descriptions;
   for (const BackendRecord& record : pool_.records()) {
     const ServiceProfile* service = routes_->service(record.service);
@@ -137,10 +137,10 @@
     const auto description = describe_engine(*routes_, *service);
     if (description) descriptions[record.address] = *description;
   }
-  const std::vector<EnginePlace> chosen = choose_engines(self_, zone_, engines);
+  const std::vector<EngineLocation> chosen = choose_engines(self_, zone_, engines);
   std::set<Address> subscribed;
-  for (const EnginePlace& engine : chosen) subscribed.insert(engine.address);
-  pool_.set_watched(std::move(subscribed));
+  for (const EngineLocation& engine : chosen) subscribed.insert(engine.address);
+  pool_.set_subscribed_engines(std::move(subscribed));
   links_.set_engines(chosen);
   links_.set_descriptions(descriptions);
 }
@@ -164,7 +164,7 @@
 }
 
 void FleetState::apply_backend_removal(const std::string& id, std::uint64_t revision) {
-  pool_.on_gone(id, revision, loop_now());
+  pool_.on_removed(id, revision, loop_now());
   log_.line("backend", "backend id=" + id + " state=GONE");
 }
 
@@ -245,7 +245,7 @@
 
 BackendChanges FleetState::own_backend_list(ListScope scope) {
   BackendChanges list{0, list_relay_.revision(), true, {}};
-  for (const BackendRecord& record : pool_.listed()) {
+  for (const BackendRecord& record : pool_.listed_records()) {
     const BackendChange entry{record, false};
     if (scope == ListScope::all || concerns_agents(entry)) list.entries.push_back(entry);
   }
@@ -255,7 +255,7 @@
 void FleetState::on_weights_named(const std::string& model, std::uint64_t version,
                                   Duration oldest) {
   const bool seen = oldest == Duration::zero();
-  apply_named_weights(model, version, targets_.assumed_naming(oldest, loop_now()), !seen);
+  apply_named_weights(model, version, targets_.assumed_named_at(oldest, loop_now()), !seen);
 }
 
 void FleetState::apply_named_weights(const std::string& model, std::uint64_t version,
@@ -302,7 +302,7 @@
 
 void FleetState::send_backlogs() {
   for (const PromptBacklog& backlog : pool_.take_changed_backlogs()) {
-    links_.send_backlog(backlog.address, backlog.unread_tokens);
+    links_.send_backlog(backlog.address, backlog.pending_tokens);
   }
 }
 
@@ -339,10 +339,10 @@
 
 std::vector<AdvertisedLimit> FleetState::limits_to_advertise() const {
   std::vector<AdvertisedLimit> limits;
-  for (const auto& [backend, belief] : pool_.limits().beliefs()) {
+  for (const auto& [backend, belief] : pool_.limits().trackers()) {
     const BackendRecord* record = pool_.record_of(backend);
     if (record == nullptr || links_.agent_of(record->address)) continue;
-    limits.push_back({pool_.life_of(backend), belief.limit()});
+    limits.push_back({pool_.incarnation_of(backend), belief.limit()});
   }
   return limits;
 }
@@ -357,16 +357,16 @@
 }
 
 void FleetState::gossip_crashes() {
-  const CrashNews update = quarantine_.take_news(loop_now());
+  const CrashUpdate update = quarantine_.take_update(loop_now());
   if (!update.empty()) links_.gossip_crashes(update);
 }
 
-void FleetState::on_crash_update(const CrashNews& update) {
+void FleetState::on_crash_update(const CrashUpdate& update) {
   // Forwarded at once, because the same request may arrive at any gateway.
-  if (quarantine_.on_told(update, loop_now())) gossip_crashes();
+  if (quarantine_.on_update(update, loop_now())) gossip_crashes();
 }
 
-CrashNews FleetState::own_verdicts() { return quarantine_.verdicts(loop_now()); }
+CrashUpdate FleetState::own_verdicts() { return quarantine_.verdicts(loop_now()); }
 
 void FleetState::on_store_reachable(bool reachable) {
   if (reachable == store_reachable_) return;
@@ -391,15 +391,15 @@
 void FleetState::on_engine_agent_lost(const Address& engine) { pool_.on_agent_lost(engine); }
 
 void FleetState::on_gossip_state(const GossipState& state) {
-  for (const LeftBackend& left : state.leaving) {
+  for (const BackendDeparture& left : state.leaving) {
     pool_.on_leaving(left.id, left.revision);
   }
   for (const NamedWeights& weights : state.weights) {
     apply_named_weights(weights.model, weights.version, loop_now() - weights.age, weights.assumed);
   }
   for (const AdvertisedLimit& advertised : state.limits) {
-    if (pool_.life_of(advertised.backend.id) != advertised.backend) continue;
-    pool_.limits().on_told(advertised.backend.id, advertised.limit, LimitSource::gateway);
+    if (pool_.incarnation_of(advertised.backend.id) != advertised.backend) continue;
+    pool_.limits().on_reported(advertised.backend.id, advertised.limit, LimitSource::gateway);
   }
   propagate_limits();
 }
@@ -407,8 +407,8 @@
 GossipState FleetState::own_gossip_state() {
   GossipState state;
   state.configuration_version = routes_ ? routes_->version() : 0;
-  state.leaving.assign(pool_.recently_left().begin(), pool_.recently_left().end());
-  state.weights = targets_.known_namings(loop_now());
+  state.leaving.assign(pool_.recent_departures().begin(), pool_.recent_departures().end());
+  state.weights = targets_.known_versions(loop_now());
   state.limits = limits_to_advertise();
   state.crash_verdicts = quarantine_.verdict_digest(loop_now());
   return state;
--- a/src/gateway/peers/fleet_state.h
+++ b/src/gateway/peers/fleet_state.h
@@ -89,8 +89,8 @@
   void on_list_revision_advertised(PeerId gateway, std::uint64_t revision) override;
   BackendChanges own_backend_list(ListScope scope) override;
   GossipState own_gossip_state() override;
-  void on_crash_update(const CrashNews& update) override;
-  CrashNews own_verdicts() override;
+  void on_crash_update(const CrashUpdate& update) override;
+  CrashUpdate own_verdicts() override;
   void on_permit_request(PeerId gateway, const PermitRequest& request) override;
   void on_permit_answer(PeerId issuer, const PermitAnswer& answer) override;
 
--- a/src/gateway/peers/gateway_digest.cpp
+++ b/src/gateway/peers/gateway_digest.cpp
@@ -13,7 +13,7 @@
 /// Back ends whose limits one digest lists.
 constexpr std::size_t kMaximumLimits = 32;
 
-void add_leaving(wire::GatewayDigestT& message, const std::vector<LeftBackend>& leaving) {
+void add_leaving(wire::GatewayDigestT& message, const std::vector<BackendDeparture>& leaving) {
   const std::size_t count = std::min(kMaximumLeavingBackends, leaving.size());
   for (std::size_t index = leaving.size() - count; index < leaving.size(); ++index) {
     auto left = std::make_unique<wire::LeavingBackendT>();
--- a/src/gateway/peers/gateway_digest.h
+++ b/src/gateway/peers/gateway_digest.h
@@ -20,7 +20,7 @@
 /// State that a gateway advertises to others.
 struct GossipState {
   std::uint64_t configuration_version = 0;
-  std::vector<LeftBackend> leaving;
+  std::vector<BackendDeparture> leaving;
   std::vector<NamedWeights> weights;
   std::uint64_t crash_verdicts = 0;     ///< Digest of the requests in quarantine.
   std::vector<AdvertisedLimit> limits;  ///< Limits of back ends without agents.
--- a/src/gateway/peers/permit_exchange.h
+++ b/src/gateway/peers/permit_exchange.h
@@ -44,7 +44,7 @@
     TimePoint last_request_at{};
   };
   void exchange();
-  void send(const BackendRecord& record, const PermitCall& call, TimePoint now);
+  void send(const BackendRecord& record, const PermitMessage& call, TimePoint now);
   PermitAnswer issue(const PermitRequest& request, TimePoint now);
 
   PeerId self_;
--- a/src/gateway/quarantine/verdict_pull.h
+++ b/src/gateway/quarantine/verdict_pull.h
@@ -1,8 +1,9 @@
-/// Decides when a gateway asks another one for its verdicts on requests that end back ends.
+/// Decides when a gateway requests the verdicts of another one on requests that crash back ends.
 ///
-/// A decision core: no I/O. News of single ends reach all gateways at once, but for one that has
-/// just begun, or was cut off or stood still. Digests that differ show it. Two gateways may differ
-/// for long without harm (one forgot what the other has room for): then they ask ever more rarely.
+/// A decision core: no I/O. Reports of single crashes reach all gateways at once, except one that
+/// has just started, was disconnected or was suspended. Differing digests reveal this. Two gateways
+/// may differ for a long time without harm, for example when one of them evicted a record that the
+/// other kept; in that case the interval between requests grows.
 #pragma once
 
 #include <algorithm>
@@ -15,30 +16,32 @@
 
 class VerdictPull {
  public:
-  /// A gateway told its digest; `own` is the digest here.
-  /// @return whether to ask it now.
-  bool should_ask(std::uint64_t gateway, std::uint64_t theirs, std::uint64_t own, TimePoint now) {
-    if (theirs == own || theirs == 0) return false;
-    Asked& asked = asked_[gateway];
-    const bool changed = asked.theirs != theirs || asked.own != own;
-    if (changed) asked.pause = kFirstPause;
-    if (now < asked.at + asked.pause && asked.at != TimePoint{}) return false;
-    asked = {theirs, own, now, std::min(asked.pause * 2, kLongestPause)};
+  /// Compares the digest that a gateway reported with the own one.
+  /// @return whether to request its verdicts now.
+  bool should_request(std::uint64_t gateway, std::uint64_t peer_digest, std::uint64_t own_digest,
+                      TimePoint now) {
+    if (peer_digest == own_digest || peer_digest == 0) return false;
+    LastRequest& last = last_requests_[gateway];
+    const bool changed = last.peer_digest != peer_digest || last.own_digest != own_digest;
+    if (changed) last.backoff = kInitialBackoff;
+    if (now < last.at + last.backoff && last.at != TimePoint{}) return false;
+    last = {peer_digest, own_digest, now, std::min(last.backoff * 2, kMaximumBackoff)};
     return true;
   }
 
  private:
-  /// Digests come twice a second: the answer is to have arrived by the next but one.
-  static constexpr Duration kFirstPause = milliseconds(900);
-  static constexpr Duration kLongestPause = seconds(120);
+  /// Time to wait before the verdicts are requested again. Digests arrive twice a second, so that
+  /// the answer has time to arrive until the second digest after the request.
+  static constexpr Duration kInitialBackoff = milliseconds(900);
+  static constexpr Duration kMaximumBackoff = seconds(120);
 
-  struct Asked {
-    std::uint64_t theirs = 0;
-    std::uint64_t own = 0;
+  struct LastRequest {
+    std::uint64_t peer_digest = 0;
+    std::uint64_t own_digest = 0;
     TimePoint at{};
-    Duration pause = kFirstPause;
+    Duration backoff = kInitialBackoff;
   };
-  std::map<std::uint64_t, Asked> asked_;
+  std::map<std::uint64_t, LastRequest> last_requests_;
 };
 
 }  // namespace pumicemast
--- a/src/gateway/requests/request_forwarder.cpp
+++ b/src/gateway/requests/request_forwarder.cpp
@@ -98,7 +98,7 @@
     give_up(number, session, RefusalReason::quarantined, now, actions);
     return true;
   }
-  const BackendNeed need = planner_.need_of(session, now);
+  const BackendRequirements need = planner_.need_of(session, now);
   const auto choice = pool_.choose(need, session.tried, now);
   const bool too_slow = choice && session.service->engine &&
                         choice->expected_ms > planner_.admission_limit_ms(session, now);
@@ -117,7 +117,7 @@
   session.waiting = false;
   waiting_.erase(rank_of(number, session));
   session.backend = choice.id;
-  session.backend_life = pool_.life_of(choice.id);
+  session.backend_life = pool_.incarnation_of(choice.id);
   session.backend_address = choice.address;
   session.sent_at = now;
   session.last_progress = now;
@@ -148,7 +148,7 @@
       targets_.lowest_allowed(session.request.model, now) > 0 ? choice.weight_version : 0;
   if (session.answer_begun) action.resume_after = session.splitter.last_id().value_or("");
   action.tenant = session.tenant;
-  action.resting_connections = pool_.resting_connections(*session.service);
+  action.resting_connections = pool_.max_idle_connections(*session.service);
   actions.emplace_back(std::move(action));
 }
 
@@ -163,7 +163,7 @@
 
 void RequestForwarder::note_cut_off(const RequestSession& session, TimePoint now,
                                     ForwarderActions& actions) {
-  crash_witness_.on_cut_off(session.backend_life, session.fingerprint, now);
+  crash_correlator_.on_response_interrupted(session.backend_life, session.fingerprint, now);
   // The agent beside an engine tells of its end; nobody does for a plain service.
   if (!session.service->engine) {
     actions.emplace_back(ProbeBackend{session.backend, session.backend_address});
@@ -171,19 +171,19 @@
 }
 
 void RequestForwarder::on_backend_ended(const std::string& backend, TimePoint now) {
-  crash_witness_.on_ended(backend, now);
+  crash_correlator_.on_process_exit(backend, now);
 }
 
 std::vector<BackendCrash> RequestForwarder::take_crashes(TimePoint now) {
-  std::vector<BackendCrash> crashes = crash_witness_.take_crashes(now);
+  std::vector<BackendCrash> crashes = crash_correlator_.take_crashes(now);
   for (const BackendCrash& crash : crashes) quarantine_.on_crash(crash);
   return crashes;
 }
 
 bool RequestForwarder::may_end_another(const RequestSession& session, TimePoint now) const {
   if (quarantine_.quarantined(session.fingerprint, now)) return true;
-  if (!crash_witness_.awaits(session.fingerprint, now)) return false;
-  return quarantine_.ends_under(session.fingerprint) + 1 >= quarantine_.ends_to_convict();
+  if (!crash_correlator_.awaits_confirmation(session.fingerprint, now)) return false;
+  return quarantine_.crash_count(session.fingerprint) + 1 >= quarantine_.crash_threshold();
 }
 
 void RequestForwarder::on_connected(RequestNumber number) {
@@ -199,7 +199,8 @@
   session.head_seen = true;
   session.facts = facts;
   session.last_progress = now;
-  pool_.limits().on_answer(session.backend, facts.rate_limit, facts.success, session.sent_at, now);
+  pool_.limits().on_response(session.backend, facts.rate_limit, facts.success, session.sent_at,
+                             now);
   session.events = event_stream && facts.success && session.route->kind == RequestKind::stream;
 }
 
@@ -237,7 +238,7 @@
     return;
   }
   // Whatever it answered, it has run the request and lives.
-  quarantine_.on_ended_well(session.fingerprint, now);
+  quarantine_.on_completed(session.fingerprint, now);
   if (session.stream_begun && !session.events) {
     // A resumption that failed: its answer is not part of the stream.
     session.may_have_run = true;
--- a/tests/gateway/backends/limited_fleet_test.cpp
+++ b/tests/gateway/backends/limited_fleet_test.cpp
@@ -1,8 +1,8 @@
-// What users saw: an engine that had named a limit of 1 request a second got 20 in 4 s from six
-// gateways that it had told. Order of events: engines were added, two named limits, and nothing
-// changed in what they were sent. Cause: no gateway read the limit; and each could only have kept
-// it by itself, so that 6 of them would have sent six times as much. Evidence: the engines'
-// requests by second are the same before and after the naming, and as many as their neighbours'.
+// Guards against gateways that exceed the request limit of an engine. An engine with a stated limit
+// of 1 request per second got 20 requests in 4 s from six gateways to which it had stated the
+// limit: no gateway read the limit, so that the engine's rate stayed the same as before and as that
+// of its neighbours. Had each gateway enforced the limit alone, the six would have sent six times
+// as much.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <cmath>
@@ -21,16 +21,16 @@
   CPPUNIT_TEST(any_limit_is_kept_and_used_by_any_number_of_gateways);
   CPPUNIT_TEST(limits_of_all_engines_at_once_are_kept_and_used);
   CPPUNIT_TEST(callers_lose_no_more_than_the_limits_take);
-  CPPUNIT_TEST(gateways_that_keep_the_limit_alone_break_it);
+  CPPUNIT_TEST(gateways_that_each_enforce_the_limit_alone_exceed_it);
   CPPUNIT_TEST(the_limit_holds_while_gateways_start_freeze_and_are_cut_off);
-  CPPUNIT_TEST(the_limit_holds_while_some_of_7_gateways_are_troubled);
-  CPPUNIT_TEST(the_limit_holds_while_some_of_149_gateways_are_troubled);
-  CPPUNIT_TEST(the_limit_holds_while_agents_start_anew);
-  CPPUNIT_TEST(a_limit_that_changes_is_followed);
-  CPPUNIT_TEST(an_engine_that_takes_nothing_is_tried_now_and_then);
+  CPPUNIT_TEST(the_limit_holds_while_some_of_7_gateways_have_faults);
+  CPPUNIT_TEST(the_limit_holds_while_some_of_149_gateways_have_faults);
+  CPPUNIT_TEST(the_limit_holds_while_agents_restart);
+  CPPUNIT_TEST(a_changed_limit_takes_effect);
+  CPPUNIT_TEST(an_engine_with_limit_zero_still_gets_a_few_requests);
   CPPUNIT_TEST(room_is_used_again_when_the_limit_ends);
-  CPPUNIT_TEST(an_engine_started_anew_has_no_limit);
-  CPPUNIT_TEST(messages_about_permits_are_few);
+  CPPUNIT_TEST(a_restarted_engine_has_no_limit);
+  CPPUNIT_TEST(permit_messages_stay_within_the_control_budget);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr Duration kSettled = seconds(1);
@@ -41,7 +41,7 @@
     return static_cast<int>(std::floor(limit * kWindowS + kBurst + 1e-9));
   }
 
-  /// Names the limit under load, and runs on until it must hold.
+  /// Sets the limit under load, and runs until it must hold.
   static TimePoint name(LimitedFleet& fleet, double limit, Duration before = seconds(2)) {
     fleet.run(before);
     fleet.set_limit(limit);
@@ -81,7 +81,7 @@
       for (const double limit : {0.2, 1.0, 1.4, 5.0, 50.0}) {
         LimitedFleetOptions options;
         options.gateways = gateways;
-        // So that some caller always wants what there is, also where one comes every five seconds.
+        // The load always exceeds the limit, also where the limit is one request in five seconds.
         options.requests_per_s = std::max(10.0, 2 * limit);
         LimitedFleet fleet(options);
         const TimePoint since = name(fleet, limit);
@@ -118,7 +118,7 @@
     name(fleet, 1);
     fleet.reset_results();
     fleet.run(seconds(20));
-    // The other engines have room for all.
+    // The other engines have capacity for all requests.
     CPPUNIT_ASSERT(fleet.results().served >= 0.99 * fleet.results().asked);
 
     options.limited = 6;
@@ -128,13 +128,13 @@
     all.run(seconds(20));
     CPPUNIT_ASSERT(all.results().rate_limited > 0);
     CPPUNIT_ASSERT_EQUAL(0, all.results().refused);
-    // Within the wait for room, not near the deadline.
+    // Refusals come within the time that a request waits for capacity, well before its deadline.
     CPPUNIT_ASSERT(all.results().longest_refusal <= milliseconds(150));
   }
 
-  // The ways that were weighed, side by side; the check is shown to fail where nobody holds the
-  // sum.
-  void gateways_that_keep_the_limit_alone_break_it() {
+  // Compares the ways to share the limit, and shows that the check fails where each gateway
+  // enforces the limit alone.
+  void gateways_that_each_enforce_the_limit_alone_exceed_it() {
     constexpr double kLimit = 50;
     for (const std::size_t gateways : {7U, 40U, 149U}) {
       for (const LimitSharing sharing : {LimitSharing::issuer, LimitSharing::each_alone,
@@ -157,7 +157,7 @@
     std::printf("\n");
   }
 
-  static void check_with_troubled_gateways(std::size_t gateways, std::uint32_t seed) {
+  static void check_with_faulty_gateways(std::size_t gateways, std::uint32_t seed) {
     LimitedFleetOptions options;
     options.gateways = gateways;
     options.requests_per_s = 30;
@@ -177,21 +177,21 @@
     check_used(fleet, 1, 2, since, what);
   }
 
-  static void check_seeds_with_troubled_gateways(std::size_t gateways) {
-    for (std::uint32_t seed = 1; seed <= 5; ++seed) check_with_troubled_gateways(gateways, seed);
+  static void check_seeds_with_faulty_gateways(std::size_t gateways) {
+    for (std::uint32_t seed = 1; seed <= 5; ++seed) check_with_faulty_gateways(gateways, seed);
   }
 
   void the_limit_holds_while_gateways_start_freeze_and_are_cut_off() {
-    check_seeds_with_troubled_gateways(40);
+    check_seeds_with_faulty_gateways(40);
   }
-  void the_limit_holds_while_some_of_7_gateways_are_troubled() {
-    check_seeds_with_troubled_gateways(7);
+  void the_limit_holds_while_some_of_7_gateways_have_faults() {
+    check_seeds_with_faulty_gateways(7);
   }
-  void the_limit_holds_while_some_of_149_gateways_are_troubled() {
-    check_seeds_with_troubled_gateways(149);
+  void the_limit_holds_while_some_of_149_gateways_have_faults() {
+    check_seeds_with_faulty_gateways(149);
   }
 
-  void the_limit_holds_while_agents_start_anew() {
+  void the_limit_holds_while_agents_restart() {
     LimitedFleetOptions options;
     options.gateways = 40;
     options.requests_per_s = 30;
@@ -201,38 +201,38 @@
       fleet.restart_agent(0);
       fleet.run(seconds(5));
     }
-    check_kept(fleet, 1, 2, since, "agent started anew");
+    check_kept(fleet, 1, 2, since, "agent restarts");
   }
 
-  void a_limit_that_changes_is_followed() {
+  void a_changed_limit_takes_effect() {
     LimitedFleetOptions options;
     options.requests_per_s = 100;
     LimitedFleet fleet(options);
     name(fleet, 20);
-    const TimePoint falls = name(fleet, 2, seconds(0));
+    const TimePoint lowered_at = name(fleet, 2, seconds(0));
     fleet.run(seconds(20));
-    check_kept(fleet, 1, 2, falls, "fallen");
-    check_used(fleet, 1, 2, falls, "fallen");
-    const TimePoint rises = name(fleet, 40, seconds(0));
+    check_kept(fleet, 1, 2, lowered_at, "lowered limit");
+    check_used(fleet, 1, 2, lowered_at, "lowered limit");
+    const TimePoint raised_at = name(fleet, 40, seconds(0));
     fleet.run(seconds(20));
-    check_kept(fleet, 1, 40, rises, "risen");
-    check_used(fleet, 1, 40, rises, "risen");
-    // Flaps between two values every second: never above the higher one.
-    const TimePoint flaps = fleet.now();
+    check_kept(fleet, 1, 40, raised_at, "raised limit");
+    check_used(fleet, 1, 40, raised_at, "raised limit");
+    // With a limit that alternates every second, the higher value is never exceeded.
+    const TimePoint alternating_since = fleet.now();
     for (int second = 0; second < 20; ++second) {
       fleet.set_limit(second % 2 == 0 ? 5 : 40);
       fleet.run(seconds(1));
     }
-    check_kept(fleet, 1, 40, flaps + seconds(4), "flapping");
+    check_kept(fleet, 1, 40, alternating_since + seconds(4), "alternating limit");
   }
 
-  void an_engine_that_takes_nothing_is_tried_now_and_then() {
+  void an_engine_with_limit_zero_still_gets_a_few_requests() {
     LimitedFleetOptions options;
     options.requests_per_s = 20;
     LimitedFleet fleet(options);
     const TimePoint since = name(fleet, 0);
     fleet.run(seconds(60));
-    check_kept(fleet, 1, 0, since, "nothing");
+    check_kept(fleet, 1, 0, since, "limit 0");
     CPPUNIT_ASSERT(fleet.arrived(0, since) >= 6);
     fleet.set_limit({});
     fleet.run(seconds(12));
@@ -257,10 +257,10 @@
     }
   }
 
-  void messages_about_permits_are_few() {
+  void permit_messages_stay_within_the_control_budget() {
     // A frame with one permit request or answer.
     constexpr double kMessageBytes = 120;
-    // What a node may use for control.
+    // Control traffic that one node may use.
     constexpr double kBytesPerSecond = 30000;
     for (const std::size_t gateways : {7U, 149U}) {
       LimitedFleetOptions options;
@@ -285,7 +285,7 @@
     }
   }
 
-  void an_engine_started_anew_has_no_limit() {
+  void a_restarted_engine_has_no_limit() {
     LimitedFleetOptions options;
     options.gateways = 40;
     options.requests_per_s = 30;
