--- a/src/gateway/gateway_daemon.cpp
+++ b/src/gateway/gateway_daemon.cpp
@@ -10,13 +10,13 @@
 
 constexpr Duration kTickInterval = milliseconds(25);
 /// Before a stopping gateway ends, nothing came over callers' connections for so long.
-constexpr Duration kQuietBeforeEnd = milliseconds(500);
+constexpr Duration kIdleBeforeExit = milliseconds(500);
 constexpr Duration kSweepInterval = milliseconds(500);
 /// Weight of the last half second in the demand that is told to agents: a burst shows within a
 /// second, the chance of 10 arrivals does not.
 constexpr double kDemandSmoothing = 0.4;
 /// Requests that come later are refused as not run: they might not end within the grace.
-constexpr Duration kStopAcceptLimit = milliseconds(3000);
+constexpr Duration kStopAcceptPeriod = milliseconds(3000);
 /// Before the grace ends, what is left is ended here, so that the process ends by itself.
 constexpr Duration kStopMargin = milliseconds(300);
 /// A caller that does not read is ended beyond this.
@@ -116,13 +116,13 @@
   if (state_ != "STOPPING") return;
   const Duration since = now - stop_requested_;
   const bool nothing_left = forwarder_.active() == 0;
-  if (since >= kStopAcceptLimit) forwarder_.set_stopping();
-  const bool grace_over = since >= settings_.stop_grace - kStopMargin;
-  if (!grace_over && (since < kStopAcceptLimit || !nothing_left)) return;
-  if (!refuses_connections_) refuse_connections(now);
+  if (since >= kStopAcceptPeriod) forwarder_.set_stopping();
+  const bool grace_ending = since >= settings_.stop_grace - kStopMargin;
+  if (!grace_ending && (since < kStopAcceptPeriod || !nothing_left)) return;
+  if (!refusing_connections_) refuse_connections(now);
   // Connections in the system's queue may carry requests: closing now would reset them.
-  const bool quiet = now - last_caller_activity_ >= kQuietBeforeEnd && !awaits_requests();
-  if (!grace_over && !quiet) return;
+  const bool idle = now - last_caller_activity_ >= kIdleBeforeExit && !awaits_any_request();
+  if (!grace_ending && !idle) return;
   step("finished");
   LOG(INFO) << "gateway event=end active=" << forwarder_.active()
             << " connections=" << callers_.size();
@@ -130,13 +130,13 @@
   loop_.quit();
 }
 
-bool GatewayDaemon::awaits_requests() const {
+bool GatewayDaemon::awaits_any_request() const {
   return std::any_of(callers_.begin(), callers_.end(),
                      [](const auto& entry) { return entry.first->awaits_request(); });
 }
 
 void GatewayDaemon::refuse_connections(TimePoint now) {
-  refuses_connections_ = true;
+  refusing_connections_ = true;
   last_caller_activity_ = now;
   if (!listener_->refuse_new()) LOG(WARNING) << "gateway event=filter state=REFUSED";
 }
@@ -159,25 +159,25 @@
   last_caller_activity_ = loop_now();
   const RequestNumber number = next_number_++;
   connection.request_number = number;
-  RequestFacts facts = protocol_->read_request(request);
+  RequestMetadata metadata = protocol_->read_request(request);
   Exchange& exchange = exchanges_[number];
   exchange.connection = &connection;
-  exchange.request_id = facts.id;
-  facts.content = fingerprint_content(to_view(request.head.method_string()), facts.host,
-                                      facts.target, request.body);
+  exchange.request_id = metadata.id;
+  metadata.content = fingerprint_content(to_view(request.head.method_string()), metadata.host,
+                                         metadata.target, request.body);
   exchange.request = std::move(request);
   ForwarderActions actions;
-  forwarder_.on_request(number, std::move(facts), loop_now(), actions);
-  carry_out(actions);
+  forwarder_.on_request(number, std::move(metadata), loop_now(), actions);
+  execute_actions(actions);
 }
 
 void GatewayDaemon::on_caller_gone(CallerConnection& connection) {
   const RequestNumber number = connection.request_number;
-  if (find(number) == nullptr) return;
+  if (find_exchange(number) == nullptr) return;
   ForwarderActions actions;
   forwarder_.on_caller_gone(number, loop_now(), actions);
   exchanges_.erase(number);
-  carry_out(actions);
+  execute_actions(actions);
 }
 
 void GatewayDaemon::on_caller_connection_closed(CallerConnection& connection) {
@@ -190,18 +190,18 @@
 void GatewayDaemon::on_attempt_connected(RequestNumber number) { forwarder_.on_connected(number); }
 
 bool GatewayDaemon::on_attempt_head(RequestNumber number, const ResponseHead& head) {
-  Exchange* exchange = find(number);
+  Exchange* exchange = find_exchange(number);
   if (exchange == nullptr) return true;
-  if (!protocol_->belongs_to(head, exchange->request_id)) return false;
-  const ResponseFacts facts = protocol_->read_response(head);
-  if (!exchange->answer_begun) {
-    exchange->answer_status = facts.status;
-    exchange->answer_reason = std::string(to_view(head.reason()));
-    exchange->answer_head.clear();
-    append_end_to_end_fields(exchange->answer_head, head);
+  if (!protocol_->matches_request(head, exchange->request_id)) return false;
+  const ResponseMetadata metadata = protocol_->read_response(head);
+  if (!exchange->response_started) {
+    exchange->response_status = metadata.status;
+    exchange->response_reason = std::string(to_view(head.reason()));
+    exchange->response_head.clear();
+    append_end_to_end_fields(exchange->response_head, head);
   }
   const bool events = field_value(head, "Content-Type").starts_with(event_stream_type());
-  forwarder_.on_response_head(number, facts, events, loop_now());
+  forwarder_.on_response_head(number, metadata, events, loop_now());
   fleet_.follow_limits();
   return true;
 }
@@ -209,7 +209,7 @@
 void GatewayDaemon::on_attempt_body(RequestNumber number, std::string_view bytes) {
   ForwarderActions actions;
   forwarder_.on_response_body(number, bytes, loop_now(), actions);
-  carry_out(actions);
+  execute_actions(actions);
 }
 
 void GatewayDaemon::on_attempt_complete(RequestNumber number) {
@@ -217,110 +217,112 @@
   const TimePoint now = loop_now();
   forwarder_.on_response_complete(number, now, actions);
   if (forwarder_.waiting() > 0) forwarder_.on_capacity(now, actions);
-  carry_out(actions);
+  execute_actions(actions);
 }
 
 void GatewayDaemon::on_attempt_failed(RequestNumber number, ExchangeFailure failure) {
   ForwarderActions actions;
-  const AttemptFailure kind = failure == ExchangeFailure::not_sent    ? AttemptFailure::not_sent
-                              : failure == ExchangeFailure::malformed ? AttemptFailure::malformed
-                                                                      : AttemptFailure::cut_off;
+  const AttemptFailure kind = failure == ExchangeFailure::not_sent ? AttemptFailure::not_sent
+                              : failure == ExchangeFailure::malformed
+                                  ? AttemptFailure::malformed
+                                  : AttemptFailure::connection_lost;
   forwarder_.on_attempt_failed(number, kind, loop_now(), actions);
-  carry_out(actions);
+  execute_actions(actions);
 }
 
 // ---- actions ----
 
-GatewayDaemon::Exchange* GatewayDaemon::find(RequestNumber number) {
+GatewayDaemon::Exchange* GatewayDaemon::find_exchange(RequestNumber number) {
   const auto found = exchanges_.find(number);
   return found == exchanges_.end() ? nullptr : &found->second;
 }
 
-void GatewayDaemon::release(RequestNumber number) { exchanges_.erase(number); }
+void GatewayDaemon::erase_exchange(RequestNumber number) { exchanges_.erase(number); }
 
-void GatewayDaemon::carry_out(ForwarderActions& actions) {
+void GatewayDaemon::execute_actions(ForwarderActions& actions) {
   for (ForwarderAction& action : actions) queued_actions_.push_back(std::move(action));
   actions.clear();
   // An action may fail at once and cause others; they are carried out after it, in order.
-  if (carrying_out_) return;
-  carrying_out_ = true;
+  if (executing_actions_) return;
+  executing_actions_ = true;
   while (!queued_actions_.empty()) {
     const ForwarderAction action = std::move(queued_actions_.front());
     queued_actions_.pop_front();
-    std::visit([this](const auto& typed) { act(typed); }, action);
+    std::visit([this](const auto& typed) { execute(typed); }, action);
   }
-  flush_answers();
+  flush_responses();
   fleet_.tell_backlogs();
   fleet_.exchange_permits(forwarder_.waiting() > 0);
-  carrying_out_ = false;
+  executing_actions_ = false;
 }
 
-void GatewayDaemon::flush_answers() {
+void GatewayDaemon::flush_responses() {
   // One write for all that the actions added to an answer.
-  const std::vector<RequestNumber> written = std::move(written_);
-  written_.clear();
-  for (const RequestNumber number : written) {
-    Exchange* exchange = find(number);
+  const std::vector<RequestNumber> unflushed = std::move(unflushed_requests_);
+  unflushed_requests_.clear();
+  for (const RequestNumber number : unflushed) {
+    Exchange* exchange = find_exchange(number);
     if (exchange == nullptr) continue;
     CallerConnection& connection = *exchange->connection;
     connection.flush();
-    if (find(number) == nullptr || connection.queued_bytes() <= kMaximumUnreadBytes) continue;
+    if (find_exchange(number) == nullptr || connection.queued_bytes() <= kMaximumUnreadBytes)
+      continue;
     on_caller_gone(connection);
     connection.abort_answer();
   }
 }
 
-void GatewayDaemon::act(const SendToBackend& action) {
-  const Exchange* exchange = find(action.request);
+void GatewayDaemon::execute(const SendToBackend& action) {
+  const Exchange* exchange = find_exchange(action.request);
   if (exchange == nullptr) return;
   const bool head_request = exchange->request.head.method() == boost::beast::http::verb::head;
   backends_.start(action, protocol_->encode_request(exchange->request, action), head_request);
 }
 
-void GatewayDaemon::act(const CancelAttempt& action) { backends_.cancel(action.request); }
+void GatewayDaemon::execute(const CancelAttempt& action) { backends_.cancel(action.request); }
 
-void GatewayDaemon::act(const ProbeBackend& action) {
+void GatewayDaemon::execute(const ProbeBackend& action) {
   probes_.start(action.backend, action.address);
 }
 
-void GatewayDaemon::act(const BeginAnswer& action) {
-  Exchange* exchange = find(action.request);
+void GatewayDaemon::execute(const BeginResponse& action) {
+  Exchange* exchange = find_exchange(action.request);
   if (exchange == nullptr) return;
-  exchange->answer_begun = true;
+  exchange->response_started = true;
   exchange->connection->begin_answer(
-      exchange->answer_status, exchange->answer_reason, exchange->answer_head,
+      exchange->response_status, exchange->response_reason, exchange->response_head,
       action.length ? AnswerFraming::length : AnswerFraming::chunked, action.length.value_or(0));
 }
 
-void GatewayDaemon::act(const RelayBytes& action) {
-  Exchange* exchange = find(action.request);
+void GatewayDaemon::execute(const RelayBody& action) {
+  Exchange* exchange = find_exchange(action.request);
   if (exchange == nullptr) return;
   exchange->connection->write_answer(action.bytes);
-  written_.push_back(action.request);
+  unflushed_requests_.push_back(action.request);
 }
 
-void GatewayDaemon::act(const EndAnswer& action) {
-  Exchange* exchange = find(action.request);
+void GatewayDaemon::execute(const EndResponse& action) {
+  Exchange* exchange = find_exchange(action.request);
   if (exchange == nullptr) return;
   CallerConnection& connection = *exchange->connection;
-  release(action.request);
+  erase_exchange(action.request);
   connection.end_answer();
 }
 
-void GatewayDaemon::act(const RefuseCaller& action) {
-  Exchange* exchange = find(action.request);
+void GatewayDaemon::execute(const SendRefusal& action) {
+  Exchange* exchange = find_exchange(action.request);
   if (exchange == nullptr) return;
   CallerConnection& connection = *exchange->connection;
-  const std::string fields = protocol_->refusal_fields(exchange->request_id, action.retry_after);
-  release(action.request);
+  const std::string fields = protocol_->refusal_headers(exchange->request_id, action.retry_after);
+  erase_exchange(action.request);
   connection.answer(action.status, fields, to_string(action.reason));
 }
 
-void GatewayDaemon::act(const CutAnswer& action) {
-  Exchange* exchange = find(action.request);
+void GatewayDaemon::execute(const AbortResponse& action) {
+  Exchange* exchange = find_exchange(action.request);
   if (exchange == nullptr) return;
   CallerConnection& connection = *exchange->connection;
-  release(action.request);
+  erase_exchange(action.request);
   connection.abort_answer();
 }
 
@@ -335,12 +337,12 @@
   if (forwarder_.waiting() == 0) return;
   ForwarderActions actions;
   forwarder_.on_capacity(loop_now(), actions);
-  carry_out(actions);
+  execute_actions(actions);
 }
 
 void GatewayDaemon::on_backend_ended(const std::string& backend, const char* evidence) {
   metrics_.on_backend_ended(evidence);
-  log_.line("backend_ended", "backend id=" + backend + " state=ENDED evidence=" + evidence);
+  log_.log_line("backend_ended", "backend id=" + backend + " state=ENDED evidence=" + evidence);
   forwarder_.on_backend_ended(backend, loop_now());
 }
 
@@ -351,10 +353,10 @@
   if (forwarder_.active() > 0) {
     ForwarderActions actions;
     forwarder_.on_tick(now, actions);
-    carry_out(actions);
+    execute_actions(actions);
   }
   log_summaries();
-  follow_crashes();
+  report_crashes();
   check_stopped(now);
 }
 
@@ -379,16 +381,16 @@
   const RetryAllowance allowance = fleet_.retry_allowance(now);
   if (allowance == forwarder_.retries().allowance()) return;
   forwarder_.set_retry_allowance(allowance);
-  log_.line("retries", "retries gateways=" + std::to_string(fleet_.retry_sharers(now)) +
-                           " reserve=" + std::to_string(allowance.reserve) +
-                           " full=" + (allowance.full ? "yes" : "no"));
+  log_.log_line("retries", "retries gateways=" + std::to_string(fleet_.retry_sharers(now)) +
+                               " reserve=" + std::to_string(allowance.reserve) +
+                               " full=" + (allowance.reserve_granted ? "yes" : "no"));
 }
 
 void GatewayDaemon::measure_demand() {
   const std::uint64_t attempts = forwarder_.counters().engine_first_attempts;
   const double rate =
-      static_cast<double>(attempts - counted_attempts_) / to_seconds(kSweepInterval);
-  counted_attempts_ = attempts;
+      static_cast<double>(attempts - previous_first_attempts_) / to_seconds(kSweepInterval);
+  previous_first_attempts_ = attempts;
   demand_ += (rate - demand_) * kDemandSmoothing;
   fleet_.set_demand(demand_);
 }
@@ -396,19 +398,19 @@
 void GatewayDaemon::log_summaries() {
   for (const RequestSummary& summary : forwarder_.take_summaries()) {
     metrics_.observe(summary);
-    log_.request(summary);
+    log_.log_request(summary);
   }
 }
 
-void GatewayDaemon::follow_crashes() {
+void GatewayDaemon::report_crashes() {
   for (const BackendCrash& crash : forwarder_.take_crashes(loop_now())) {
     metrics_.on_crash(crash);
-    log_.crash(crash);
+    log_.log_crash(crash);
   }
   for (const RequestFingerprint& request : fleet_.quarantine().take_convicted()) {
-    const std::size_t ends = fleet_.quarantine().ends_under(request);
-    log_.line("quarantine", "request fingerprint=" + to_string(request) +
-                                " state=QUARANTINED ends=" + std::to_string(ends));
+    const std::size_t crash_count = fleet_.quarantine().ends_under(request);
+    log_.log_line("quarantine", "request fingerprint=" + to_string(request) +
+                                    " state=QUARANTINED ends=" + std::to_string(crash_count));
   }
   fleet_.tell_crashes();
 }
@@ -419,7 +421,7 @@
     return {ready ? kStatusOk : kStatusUnavailable, "text/plain", state_};
   }
   if (path == "/metrics") {
-    GatewayFigures figures;
+    GatewayGauges figures;
     figures.active_requests = forwarder_.active();
     figures.waiting_requests = forwarder_.waiting();
     figures.connections_opened = backends_.connections_opened();
--- a/src/gateway/gateway_daemon.h
+++ b/src/gateway/gateway_daemon.h
@@ -45,10 +45,10 @@
     CallerConnection* connection = nullptr;
     ReceivedRequest request;
     std::string request_id;
-    std::string answer_head;  ///< Header lines of the answer to be passed on.
-    std::string answer_reason;
-    int answer_status = 0;
-    bool answer_begun = false;
+    std::string response_head;  ///< Header lines of the answer to be passed on.
+    std::string response_reason;
+    int response_status = 0;
+    bool response_started = false;
   };
 
   // TcpListener::Acceptor
@@ -70,18 +70,18 @@
   void on_backend_ended(const std::string& backend, const char* evidence);
 
   CallerLimits limits() const;
-  void carry_out(ForwarderActions& actions);
-  void flush_answers();
-  void act(const SendToBackend& action);
-  void act(const CancelAttempt& action);
-  void act(const ProbeBackend& action);
-  void act(const BeginAnswer& action);
-  void act(const RelayBytes& action);
-  void act(const EndAnswer& action);
-  void act(const RefuseCaller& action);
-  void act(const CutAnswer& action);
-  Exchange* find(RequestNumber number);
-  void release(RequestNumber number);
+  void execute_actions(ForwarderActions& actions);
+  void flush_responses();
+  void execute(const SendToBackend& action);
+  void execute(const CancelAttempt& action);
+  void execute(const ProbeBackend& action);
+  void execute(const BeginResponse& action);
+  void execute(const RelayBody& action);
+  void execute(const EndResponse& action);
+  void execute(const SendRefusal& action);
+  void execute(const AbortResponse& action);
+  Exchange* find_exchange(RequestNumber number);
+  void erase_exchange(RequestNumber number);
 
   void tick();
   void sweep();
@@ -89,12 +89,12 @@
   void measure_demand();
   void log_summaries();
   /// Logs which requests ran where a back end ended, and tells other gateways.
-  void follow_crashes();
+  void report_crashes();
   void step(const char* event);
   void check_stopped(TimePoint now);
   void refuse_connections(TimePoint now);
   /// Whether a caller has connected and is yet to send a whole request.
-  bool awaits_requests() const;
+  bool awaits_any_request() const;
   StatusAnswer status(const std::string& path);
   /// The requests in quarantine, a line each.
   std::string quarantine_page();
@@ -117,15 +117,15 @@
   std::map<const CallerConnection*, std::unique_ptr<CallerConnection>> callers_;
   std::map<RequestNumber, Exchange> exchanges_;
   RequestNumber next_number_ = 1;
-  std::uint64_t counted_attempts_ = 0;  ///< Of `demand_`.
-  double demand_ = 0;                   ///< First attempts for engines a second, smoothed.
+  std::uint64_t previous_first_attempts_ = 0;  ///< Of `demand_`.
+  double demand_ = 0;                          ///< First attempts for engines a second, smoothed.
   std::deque<ForwarderAction> queued_actions_;
-  std::vector<RequestNumber> written_;  ///< Requests whose answers are to be flushed.
-  bool carrying_out_ = false;
+  std::vector<RequestNumber> unflushed_requests_;  ///< Requests whose answers are to be flushed.
+  bool executing_actions_ = false;
   DeferredDeleter deleter_;
   TimePoint stop_requested_{};
   TimePoint last_caller_activity_{};  ///< A connection or request came.
-  bool refuses_connections_ = false;
+  bool refusing_connections_ = false;
   Timer tick_timer_;
   Timer sweep_timer_;
 };
--- a/src/gateway/gateway_log.cpp
+++ b/src/gateway/gateway_log.cpp
@@ -16,14 +16,15 @@
 GatewayLog::GatewayLog(std::string decisions)
     : decisions_(std::move(decisions)), budget_(kLinesPerSecond) {}
 
-void GatewayLog::line(const std::string& kind, const std::string& text) {
+void GatewayLog::log_line(const std::string& kind, const std::string& text) {
   if (decisions_ == "none" || !budget_.admit(kind, loop_now())) return;
   LOG(INFO) << text;
 }
 
-void GatewayLog::request(const RequestSummary& summary) {
-  const bool clean = summary.outcome == "finished" && summary.sends == 1 && !summary.begun_late;
-  if (clean && decisions_ != "all") return;
+void GatewayLog::log_request(const RequestSummary& summary) {
+  const bool unremarkable =
+      summary.outcome == "finished" && summary.sends == 1 && !summary.begun_late;
+  if (unremarkable && decisions_ != "all") return;
   std::ostringstream text;
   text << "request id=" << summary.id << " outcome=" << summary.outcome
        << " reason=" << (summary.reason.empty() ? "-" : summary.reason)
@@ -39,19 +40,20 @@
        << " named_ms=" << to_milliseconds(summary.naming_age)
        << " taken_back=" << summary.taken_back
        << " begun_late=" << (summary.begun_late ? "yes" : "no");
-  line("request_" + summary.outcome, text.str());
+  log_line("request_" + summary.outcome, text.str());
 }
 
-void GatewayLog::crash(const BackendCrash& crash) {
-  constexpr std::size_t kNamed = 16;  // As many as an engine runs at once.
+void GatewayLog::log_crash(const BackendCrash& crash) {
+  constexpr std::size_t kMaximumFingerprints = 16;  // As many as an engine runs at once.
   std::ostringstream text;
   text << "backend id=" << crash.backend.id << " event=ended_under_requests"
        << " in_crowd=" << (crash.in_crowd ? "yes" : "no") << " requests=" << crash.requests.size()
        << " fingerprints=";
-  for (std::size_t index = 0; index < std::min(kNamed, crash.requests.size()); ++index) {
+  for (std::size_t index = 0; index < std::min(kMaximumFingerprints, crash.requests.size());
+       ++index) {
     text << (index > 0 ? "," : "") << to_string(crash.requests[index]);
   }
-  line("crash", text.str());
+  log_line("crash", text.str());
 }
 
 void GatewayLog::flush() {
--- a/src/gateway/gateway_log.h
+++ b/src/gateway/gateway_log.h
@@ -17,11 +17,11 @@
   void set_decisions(std::string decisions) { decisions_ = std::move(decisions); }
   const std::string& decisions() const { return decisions_; }
   /// A change of what the gateway believes.
-  void line(const std::string& kind, const std::string& text);
+  void log_line(const std::string& kind, const std::string& text);
   /// The one line about a request that has ended; good ones only when all are wanted.
-  void request(const RequestSummary& summary);
+  void log_request(const RequestSummary& summary);
   /// A back end ended under requests: which.
-  void crash(const BackendCrash& crash);
+  void log_crash(const BackendCrash& crash);
   /// Tells how many lines were left out, and writes what is still held. Call now and then.
   void flush();
 
--- a/src/gateway/gateway_metrics.cpp
+++ b/src/gateway/gateway_metrics.cpp
@@ -40,7 +40,7 @@
                  static_cast<double>(crash.requests.size()));
 }
 
-void GatewayMetrics::update(const ForwarderCounters& counters, const GatewayFigures& figures) {
+void GatewayMetrics::update(const ForwarderCounters& counters, const GatewayGauges& figures) {
   const auto set = [this](const char* name, double value) { metrics_.gauge(name, {}, value); };
   set("pumicemast_gateway_sends", static_cast<double>(counters.sends));
   set("pumicemast_gateway_returning", static_cast<double>(counters.returning));
--- a/src/gateway/gateway_metrics.h
+++ b/src/gateway/gateway_metrics.h
@@ -7,7 +7,7 @@
 namespace pumicemast {
 
 /// What a gateway looks like at a moment.
-struct GatewayFigures {
+struct GatewayGauges {
   std::size_t active_requests = 0;
   std::size_t waiting_requests = 0;
   std::uint64_t connections_opened = 0;  ///< To back ends, since the start.
@@ -27,7 +27,7 @@
   /// @param evidence  who said so: an agent, or a probe.
   void on_backend_ended(const char* evidence);
   void on_crash(const BackendCrash& crash);
-  void update(const ForwarderCounters& counters, const GatewayFigures& figures);
+  void update(const ForwarderCounters& counters, const GatewayGauges& figures);
   void update(const RetryBudgets& retries);
   void update(const PermitCounters& permits);
   std::string serialize() const { return metrics_.serialize(); }
--- a/src/gateway/gateway_protocol.h
+++ b/src/gateway/gateway_protocol.h
@@ -14,15 +14,16 @@
 class GatewayProtocol {
  public:
   virtual ~GatewayProtocol() = default;
-  virtual RequestFacts read_request(const ReceivedRequest& request) const = 0;
+  virtual RequestMetadata read_request(const ReceivedRequest& request) const = 0;
   /// The whole request as the back end is to receive it.
   virtual std::string encode_request(const ReceivedRequest& request,
                                      const SendToBackend& send) const = 0;
   /// Whether the answer belongs to the request with this id.
-  virtual bool belongs_to(const ResponseHead& head, const std::string& request_id) const = 0;
-  virtual ResponseFacts read_response(const ResponseHead& head) const = 0;
+  virtual bool matches_request(const ResponseHead& head, const std::string& request_id) const = 0;
+  virtual ResponseMetadata read_response(const ResponseHead& head) const = 0;
   /// Header lines of a refusal.
-  virtual std::string refusal_fields(const std::string& request_id, Duration retry_after) const = 0;
+  virtual std::string refusal_headers(const std::string& request_id,
+                                      Duration retry_after) const = 0;
 };
 
 }  // namespace pumicemast
--- a/src/gateway/peers/fleet_state.cpp
+++ b/src/gateway/peers/fleet_state.cpp
@@ -19,7 +19,7 @@
 RetryShareOptions retry_share_options(const GatewaySettings& settings) {
   RetryShareOptions options;
   options.extra = settings.retry_extra;
-  options.least_gateways = settings.gateway_count;
+  options.min_gateways = settings.gateway_count;
   options.zones = settings.zones;
   options.window = settings.retry_window;
   return options;
@@ -89,7 +89,8 @@
   pool_.sweep(now);
   quarantine_.sweep(now);
   permits_.sweep(now);
-  if (retry_share_.told(now) > 0) pool_.set_gateway_count(retry_share_.told(now));
+  if (retry_share_.reported_gateways(now) > 0)
+    pool_.set_gateway_count(retry_share_.reported_gateways(now));
 }
 
 void FleetState::apply_configuration(FleetConfiguration configuration, const std::string& document,
@@ -97,11 +98,11 @@
   if (routes_ && configuration.version <= routes_->version()) return;
   const Duration lag = links_.known_elsewhere_for(configuration.version);
   metrics_.observe("pumicemast_gateway_configuration_lag_seconds", {{"source", source}}, lag);
-  log_.line("configuration",
-            "configuration version=" + std::to_string(configuration.version) + " source=" + source +
-                " from=" + from + " bytes=" + std::to_string(document.size()) +
-                " lag_ms=" + std::to_string(to_milliseconds(lag)) +
-                " routes=" + std::to_string(configuration.routes.size()) + " state=IN_FORCE");
+  log_.log_line("configuration",
+                "configuration version=" + std::to_string(configuration.version) + " source=" +
+                    source + " from=" + from + " bytes=" + std::to_string(document.size()) +
+                    " lag_ms=" + std::to_string(to_milliseconds(lag)) +
+                    " routes=" + std::to_string(configuration.routes.size()) + " state=IN_FORCE");
   routes_ = std::make_shared<RouteTable>(std::move(configuration));
   callbacks_.on_routes(routes_);
   // Which back ends are engines, whose agents are to report, stands in the configuration; the list
@@ -119,8 +120,8 @@
   if (routes_ && fetched.version <= routes_->version()) return;
   auto configuration = feed_.read_document(fetched.document);
   if (!configuration) {
-    log_.line("configuration", "configuration source=gateway from=" + fetched.gateway +
-                                   " state=REFUSED reason=malformed");
+    log_.log_line("configuration", "configuration source=gateway from=" + fetched.gateway +
+                                       " state=REFUSED reason=malformed");
     return;
   }
   apply_configuration(std::move(*configuration), fetched.document, "gateway", fetched.gateway);
@@ -150,22 +151,22 @@
 void FleetState::note_backend_list(const std::vector<BackendRecord>& records,
                                    std::uint64_t revision) {
   pool_.on_list(records, revision, loop_now());
-  log_.line("backend_list", "backends event=list count=" + std::to_string(records.size()) +
-                                " revision=" + std::to_string(revision));
+  log_.log_line("backend_list", "backends event=list count=" + std::to_string(records.size()) +
+                                    " revision=" + std::to_string(revision));
 }
 
 void FleetState::note_backend(const BackendRecord& record) {
   const bool was_leaving = pool_.leaving(record.id);
   pool_.on_record(record);
   if (was_leaving == record.draining) return;
-  log_.line("backend", "backend id=" + record.id + " service=" + record.service +
-                           " address=" + record.address.to_string() +
-                           (record.draining ? " state=DRAINING" : " state=READY"));
+  log_.log_line("backend", "backend id=" + record.id + " service=" + record.service +
+                               " address=" + record.address.to_string() +
+                               (record.draining ? " state=DRAINING" : " state=READY"));
 }
 
 void FleetState::note_gone(const std::string& id, std::uint64_t revision) {
   pool_.on_gone(id, revision, loop_now());
-  log_.line("backend", "backend id=" + id + " state=GONE");
+  log_.log_line("backend", "backend id=" + id + " state=GONE");
 }
 
 void FleetState::on_backend_list(const std::vector<BackendRecord>& records,
@@ -261,9 +262,9 @@
 void FleetState::note_weights(const std::string& model, std::uint64_t version, TimePoint named_at,
                               bool assumed) {
   if (!targets_.on_named(model, version, named_at, assumed)) return;
-  log_.line("weights", "weights model=" + model + " version=" + std::to_string(version) +
-                           " age_ms=" + std::to_string(to_milliseconds(loop_now() - named_at)) +
-                           " assumed=" + (assumed ? "yes" : "no") + " state=NAMED");
+  log_.log_line("weights", "weights model=" + model + " version=" + std::to_string(version) +
+                               " age_ms=" + std::to_string(to_milliseconds(loop_now() - named_at)) +
+                               " assumed=" + (assumed ? "yes" : "no") + " state=NAMED");
   links_.tell_weights_named(model, version);
   links_.tell_others();
 }
@@ -273,7 +274,7 @@
 }
 
 void FleetState::on_store_reader(bool reads) {
-  log_.line("reader", std::string("store reader=") + (reads ? "yes" : "no"));
+  log_.log_line("reader", std::string("store reader=") + (reads ? "yes" : "no"));
   links_.set_reads_store(reads);
   if (reads) {
     feed_.resume(list_relay_.revision());
@@ -314,9 +315,9 @@
 void FleetState::log_limit(const LimitChange& change) {
   const bool named = change.limit.named();
   const std::string rate = named ? std::to_string(*change.limit.per_second) : "-";
-  log_.line("limit", "backend id=" + change.backend + " limit_per_s=" + rate +
-                         " source=" + to_string(change.source) +
-                         (named ? " state=LIMITED" : " state=UNLIMITED"));
+  log_.log_line("limit", "backend id=" + change.backend + " limit_per_s=" + rate +
+                             " source=" + to_string(change.source) +
+                             (named ? " state=LIMITED" : " state=UNLIMITED"));
 }
 
 void FleetState::follow_limits() {
@@ -370,16 +371,16 @@
 void FleetState::on_store_reachable(bool reachable) {
   if (reachable == store_reachable_) return;
   store_reachable_ = reachable;
-  log_.line("store",
-            std::string("store state=") + (reachable ? "LOST->REACHABLE" : "REACHABLE->LOST"));
+  log_.log_line("store",
+                std::string("store state=") + (reachable ? "LOST->REACHABLE" : "REACHABLE->LOST"));
 }
 
 void FleetState::on_engine_report(const Address& engine, const LoadReport& report) {
   const auto ended = pool_.on_report(engine, report, loop_now());
   follow_limits();
   if (ended) callbacks_.on_engine_ended(*ended);
-  retry_share_.on_gateways_told(report.gateways, loop_now());
-  retry_share_.on_largest_zone_told(report.largest_zone_gateways, loop_now());
+  retry_share_.on_gateway_count(report.gateways, loop_now());
+  retry_share_.on_largest_zone_gateway_count(report.largest_zone_gateways, loop_now());
   callbacks_.on_report();
 }
 
--- a/src/gateway/requests/attempt_watch.h
+++ b/src/gateway/requests/attempt_monitor.h
@@ -11,25 +11,25 @@
 namespace pumicemast {
 
 enum class AttemptState {
-  sound,
+  healthy,
   not_connected,    ///< Its connection does not come up: nothing was sent.
-  begins_too_late,  ///< It has not begun, and would begin on weights that may start nothing by
+  starts_too_late,  ///< It has not begun, and would begin on weights that may start nothing by
                     ///< then.
-  silent,           ///< Nothing came for so long that another back end may do better.
+  stalled,          ///< Nothing came for so long that another back end may do better.
 };
 
-class AttemptWatch {
+class AttemptMonitor {
  public:
-  AttemptWatch(const BackendPool& pool, const WeightTargets& targets,
-               const ForwarderOptions& options)
+  AttemptMonitor(const BackendPool& pool, const WeightTargets& targets,
+                 const ForwarderOptions& options)
       : pool_(pool), targets_(targets), options_(options) {}
 
   /// @param session  one whose request was sent.
-  AttemptState judge(const RequestSession& session, TimePoint now) const;
+  AttemptState assess(const RequestSession& session, TimePoint now) const;
 
  private:
-  bool begins_too_late(const RequestSession& session, TimePoint now) const;
-  Duration longest_silence(const RequestSession& session, TimePoint now) const;
+  bool starts_too_late(const RequestSession& session, TimePoint now) const;
+  Duration silence_timeout(const RequestSession& session, TimePoint now) const;
 
   const BackendPool& pool_;
   const WeightTargets& targets_;
--- a/src/gateway/requests/backend_connections.cpp
+++ b/src/gateway/requests/backend_connections.cpp
@@ -8,11 +8,11 @@
 namespace {
 
 /// Bytes that a back end does not acknowledge for so long end the connection.
-constexpr Duration kUnansweredLimit = milliseconds(1500);
+constexpr Duration kAcknowledgementTimeout = milliseconds(1500);
 /// An idle connection is used until this long before its peer would close it.
 constexpr Duration kKeepAliveMargin = milliseconds(1000);
 /// Where the peer states no time.
-constexpr Duration kUnstatedIdleLimit = seconds(4);
+constexpr Duration kDefaultIdleTimeout = seconds(4);
 
 }  // namespace
 
@@ -23,7 +23,7 @@
       : owner_(owner),
         number_(send.request),
         backend_(send.backend),
-        resting_connections_(send.resting_connections) {}
+        max_idle_connections_(send.max_idle_connections) {}
 
   void run(std::unique_ptr<ClientConnection> connection, const std::string& bytes,
            bool head_request) {
@@ -32,7 +32,7 @@
   }
   std::unique_ptr<ClientConnection> release() { return std::move(connection_); }
   const std::string& backend() const { return backend_; }
-  std::size_t resting_connections() const { return resting_connections_; }
+  std::size_t max_idle_connections() const { return max_idle_connections_; }
 
  private:
   void on_response_connected() override { owner_.observer_.on_attempt_connected(number_); }
@@ -53,7 +53,7 @@
   BackendConnections& owner_;
   RequestNumber number_;
   std::string backend_;
-  std::size_t resting_connections_;
+  std::size_t max_idle_connections_;
   std::unique_ptr<ClientConnection> connection_;
 };
 
@@ -61,9 +61,9 @@
 
 BackendConnections::~BackendConnections() = default;
 
-bool BackendConnections::too_old(const ClientConnection& connection, TimePoint now) {
+bool BackendConnections::idle_expired(const ClientConnection& connection, TimePoint now) {
   const int stated_s = connection.keep_alive_timeout_s();
-  const Duration limit = stated_s < 0 ? kUnstatedIdleLimit : seconds(stated_s) - kKeepAliveMargin;
+  const Duration limit = stated_s < 0 ? kDefaultIdleTimeout : seconds(stated_s) - kKeepAliveMargin;
   return now - connection.idle_since() >= limit;
 }
 
@@ -75,7 +75,7 @@
   while (!connections.empty()) {
     std::unique_ptr<ClientConnection> connection = std::move(connections.back());
     connections.pop_back();
-    if (connection->reusable() && !too_old(*connection, now)) return connection;
+    if (connection->reusable() && !idle_expired(*connection, now)) return connection;
     connection->abandon();
     deleter_.defer(std::move(connection));
   }
@@ -87,14 +87,14 @@
   std::unique_ptr<ClientConnection> connection = take_idle(send);
   if (!connection) {
     ++connections_opened_;
-    connection = std::make_unique<ClientConnection>(send.address, kUnansweredLimit, *this);
+    connection = std::make_unique<ClientConnection>(send.address, kAcknowledgementTimeout, *this);
   }
   auto attempt = std::make_unique<Attempt>(*this, send);
   Attempt& started = *attempt;
   attempts_[send.request] = std::move(attempt);
   const bool connected = connection->connected();
   // A back end may be silent for seconds before it answers, and with this limit one lost probe
-  // would end a request that may have run. Attempts are judged by AttemptWatch.
+  // would end a request that may have run. Attempts are judged by AttemptMonitor.
   connection->set_probing(false);
   started.run(std::move(connection), bytes, head_request);
   if (connected) observer_.on_attempt_connected(send.request);
@@ -105,10 +105,10 @@
   if (node.empty()) return;
   std::unique_ptr<ClientConnection> connection = node.mapped()->release();
   const std::string backend = node.mapped()->backend();
-  const std::size_t most = node.mapped()->resting_connections();
+  const std::size_t max_idle = node.mapped()->max_idle_connections();
   deleter_.defer(std::move(node.mapped()));
-  if (keep_connection && connection->reusable() && most > 0) {
-    keep(backend, std::move(connection), most);
+  if (keep_connection && connection->reusable() && max_idle > 0) {
+    keep_idle(backend, std::move(connection), max_idle);
   } else {
     connection->abandon();
     deleter_.defer(std::move(connection));
@@ -116,14 +116,15 @@
   if (keep_connection) observer_.on_attempt_complete(number);
 }
 
-void BackendConnections::keep(const std::string& backend,
-                              std::unique_ptr<ClientConnection> connection, std::size_t most) {
+void BackendConnections::keep_idle(const std::string& backend,
+                                   std::unique_ptr<ClientConnection> connection,
+                                   std::size_t max_idle) {
   auto& connections = idle_[backend].connections;
   connection->set_idle_since(loop_now());
   // One that goes silent while it rests would take a request that can't be sent again.
   connection->set_probing(true);
   connections.push_back(std::move(connection));
-  while (connections.size() > most) {
+  while (connections.size() > max_idle) {
     connections.front()->abandon();
     deleter_.defer(std::move(connections.front()));
     connections.erase(connections.begin());
@@ -148,7 +149,7 @@
 void BackendConnections::expire_idle(TimePoint now) {
   for (auto& [backend, idle] : idle_) {
     std::erase_if(idle.connections, [&](std::unique_ptr<ClientConnection>& connection) {
-      if (connection->reusable() && !too_old(*connection, now)) return false;
+      if (connection->reusable() && !idle_expired(*connection, now)) return false;
       connection->abandon();
       deleter_.defer(std::move(connection));
       return true;
--- a/src/gateway/requests/backend_connections.h
+++ b/src/gateway/requests/backend_connections.h
@@ -47,11 +47,11 @@
 
   std::unique_ptr<ClientConnection> take_idle(const SendToBackend& send);
   /// @param most  that may rest for this back end, this one included.
-  void keep(const std::string& backend, std::unique_ptr<ClientConnection> connection,
-            std::size_t most);
+  void keep_idle(const std::string& backend, std::unique_ptr<ClientConnection> connection,
+                 std::size_t max_idle);
   void on_idle_connection_ended(ClientConnection& connection) override;
   void finish(RequestNumber number, bool keep_connection);
-  static bool too_old(const ClientConnection& connection, TimePoint now);
+  static bool idle_expired(const ClientConnection& connection, TimePoint now);
 
   AttemptObserver& observer_;
   std::map<RequestNumber, std::unique_ptr<Attempt>> attempts_;
--- a/src/gateway/requests/event_splitter.cpp
+++ b/src/gateway/requests/event_splitter.cpp
@@ -26,28 +26,28 @@
 
 }  // namespace
 
-std::string EventSplitter::take_whole_events(std::string_view bytes) {
-  rest_.append(bytes);
-  std::size_t taken = 0;
-  for (std::size_t end = event_end(rest_, 0); end != std::string::npos;
-       end = event_end(rest_, taken)) {
-    note_event(std::string_view(rest_).substr(taken, end - taken));
-    taken = end;
+std::string EventSplitter::take_complete_events(std::string_view bytes) {
+  partial_.append(bytes);
+  std::size_t consumed = 0;
+  for (std::size_t end = event_end(partial_, 0); end != std::string::npos;
+       end = event_end(partial_, consumed)) {
+    record_event(std::string_view(partial_).substr(consumed, end - consumed));
+    consumed = end;
   }
-  std::string whole = rest_.substr(0, taken);
-  rest_.erase(0, taken);
-  return whole;
+  std::string complete_events = partial_.substr(0, consumed);
+  partial_.erase(0, consumed);
+  return complete_events;
 }
 
-std::string EventSplitter::take_rest() {
-  std::string rest = std::move(rest_);
-  rest_.clear();
+std::string EventSplitter::take_partial_event() {
+  std::string rest = std::move(partial_);
+  partial_.clear();
   return rest;
 }
 
-void EventSplitter::note_event(std::string_view event) {
+void EventSplitter::record_event(std::string_view event) {
   constexpr std::string_view kIdField = "id:";
-  ++events_;
+  ++event_count_;
   while (!event.empty()) {
     const std::size_t line_end = std::min(event.find('\n'), event.size());
     const std::string_view line = event.substr(0, line_end);
--- a/src/gateway/requests/event_splitter.h
+++ b/src/gateway/requests/event_splitter.h
@@ -15,21 +15,21 @@
  public:
   /// Adds received bytes.
   /// @return the events that are whole now, as received.
-  std::string take_whole_events(std::string_view bytes);
+  std::string take_complete_events(std::string_view bytes);
   /// Bytes of an event that has not ended; they are forgotten.
-  std::string take_rest();
-  void drop_rest() { rest_.clear(); }
+  std::string take_partial_event();
+  void discard_partial_event() { partial_.clear(); }
 
   /// Id of the last whole event that carried one.
   const std::optional<std::string>& last_id() const { return last_id_; }
-  std::uint64_t events() const { return events_; }
+  std::uint64_t event_count() const { return event_count_; }
 
  private:
-  void note_event(std::string_view event);
+  void record_event(std::string_view event);
 
-  std::string rest_;
+  std::string partial_;
   std::optional<std::string> last_id_;
-  std::uint64_t events_ = 0;
+  std::uint64_t event_count_ = 0;
 };
 
 }  // namespace pumicemast
--- a/src/gateway/requests/forwarder_actions.h
+++ b/src/gateway/requests/forwarder_actions.h
@@ -19,7 +19,7 @@
 using RequestNumber = std::uint64_t;
 
 /// What a caller's request says of itself.
-struct RequestFacts {
+struct RequestMetadata {
   std::string id;  ///< The caller's own, for logs.
   std::string host;
   std::string target;
@@ -32,7 +32,7 @@
 };
 
 /// How a back end's answer begins, as the translator of its protocol reads it.
-struct ResponseFacts {
+struct ResponseMetadata {
   int status = 0;
   bool not_run = false;   ///< It says that it did not run the request and never will.
   bool replaced = false;  ///< Another incarnation has the address.
@@ -58,7 +58,7 @@
 
 enum class AttemptFailure {
   not_sent,
-  cut_off,
+  connection_lost,
   malformed,
 };
 
@@ -72,7 +72,7 @@
   std::string resume_after;            ///< Id of the last event the caller has; or empty.
   std::string tenant;                  ///< Empty when the request has none.
   /// Connections to this back end that may rest here between requests.
-  std::size_t resting_connections = 0;
+  std::size_t max_idle_connections = 0;
 };
 /// The caller left, or the attempt is given up: the back end is to stop.
 struct CancelAttempt {
@@ -84,30 +84,30 @@
   Address address;
 };
 /// Begins the answer with the head that the back end gave to this attempt.
-struct BeginAnswer {
+struct BeginResponse {
   RequestNumber request = 0;
   std::optional<std::size_t> length;  ///< Chunked when empty.
 };
-struct RelayBytes {
+struct RelayBody {
   RequestNumber request = 0;
   std::string bytes;
 };
-struct EndAnswer {
+struct EndResponse {
   RequestNumber request = 0;
 };
-struct RefuseCaller {
+struct SendRefusal {
   RequestNumber request = 0;
   int status = 0;
   RefusalReason reason = RefusalReason::no_capacity;
   Duration retry_after = Duration::zero();  ///< Zero: nothing is said.
 };
 /// The answer can't be completed: the caller must see it fail.
-struct CutAnswer {
+struct AbortResponse {
   RequestNumber request = 0;
   RefusalReason reason = RefusalReason::backend_failed;
 };
-using ForwarderAction = std::variant<SendToBackend, CancelAttempt, ProbeBackend, BeginAnswer,
-                                     RelayBytes, EndAnswer, RefuseCaller, CutAnswer>;
+using ForwarderAction = std::variant<SendToBackend, CancelAttempt, ProbeBackend, BeginResponse,
+                                     RelayBody, EndResponse, SendRefusal, AbortResponse>;
 using ForwarderActions = std::vector<ForwarderAction>;
 
 }  // namespace pumicemast
--- a/src/gateway/requests/forwarder_options.h
+++ b/src/gateway/requests/forwarder_options.h
@@ -14,23 +14,24 @@
   double retry_ratio = 0.18;
   double retry_reserve = 8;
   /// A request waits here for room at most this share of its goal.
-  double wait_share = 0.15;
+  double wait_fraction = 0.15;
   /// Admitted when the predicted wait is within this share of what is left of the goal.
-  double admit_share = 0.85;
+  double admission_fraction = 0.85;
   /// A caller that is refused is told to come back within this share of its time left, at a
   /// time drawn from the upper half, so that those who were refused together come apart.
-  double retry_after_share = 0.32;
-  Duration longest_retry_after = seconds(2);
-  Duration connect_limit = milliseconds(350);
+  double retry_after_fraction = 0.32;
+  Duration max_retry_after = seconds(2);
+  Duration connect_timeout = milliseconds(350);
   /// A back end that is silent for so long is given up, if another one may run the request:
   /// soon when nothing says that it lives, late when its agent does (it may just be slow, and
   /// what it has done so far would be done again elsewhere).
-  Duration doubtful_silence = milliseconds(350);
-  Duration healthy_silence = milliseconds(1600);
+  Duration unconfirmed_silence_timeout = milliseconds(350);
+  Duration healthy_silence_timeout = milliseconds(1600);
   /// What has not begun on weights that are about to be forbidden is taken back so long before:
   /// the word must still reach the back end.
-  Duration take_back_lead = milliseconds(300);
-  std::size_t whole_answer_bytes = 1U << 20U;  ///< Answers up to it are sent only when whole.
+  Duration late_start_margin = milliseconds(300);
+  std::size_t max_buffered_response_bytes = 1U
+                                            << 20U;  ///< Answers up to it are sent only when whole.
 };
 
 }  // namespace pumicemast
--- a/src/gateway/requests/request_authorizer.cpp
+++ b/src/gateway/requests/request_authorizer.cpp
@@ -10,8 +10,8 @@
 }  // namespace
 
 const std::string& RequestAuthorizer::pick_service(const RouteRule& route) {
-  static const std::string kNone;
-  if (route.services.empty()) return kNone;
+  static const std::string kNoService;
+  if (route.services.empty()) return kNoService;
   double total = 0;
   for (const WeightedService& candidate : route.services) total += candidate.weight;
   std::uniform_real_distribution<double> uniform(0, total);
@@ -23,31 +23,32 @@
   return route.services.back().service;
 }
 
-RequestGrant RequestAuthorizer::authorize(const RouteTable* routes, const RequestFacts& request) {
-  RequestGrant grant;
+AuthorizationResult RequestAuthorizer::authorize(const RouteTable* routes,
+                                                 const RequestMetadata& request) {
+  AuthorizationResult result;
   if (routes == nullptr) {
-    grant.refusal = {kStatusUnavailable, RefusalReason::no_configuration};
-    return grant;
+    result.refusal = {kStatusUnavailable, RefusalReason::no_configuration};
+    return result;
   }
-  grant.route = routes->match(request.host, request.target);
-  if (grant.route == nullptr) {
-    grant.refusal = {kStatusNotFound, RefusalReason::no_route};
-    return grant;
+  result.route = routes->match(request.host, request.target);
+  if (result.route == nullptr) {
+    result.refusal = {kStatusNotFound, RefusalReason::no_route};
+    return result;
   }
-  grant.priority = grant.route->priority;
-  const TenantRule* tenant = routes->tenant_of(request.api_key);
+  result.priority = result.route->priority;
+  const TenantRule* tenant = routes->tenant_for_key(request.api_key);
   if (tenant != nullptr) {
-    grant.tenant = tenant->name;
-    grant.priority = tenant->priority.value_or(grant.route->priority);
-  } else if (routes->has_tenants() && !grant.route->open_to_all) {
-    grant.refusal = {kStatusUnauthorized, RefusalReason::no_key};
-    return grant;
+    result.tenant = tenant->name;
+    result.priority = tenant->priority.value_or(result.route->priority);
+  } else if (routes->has_tenants() && !result.route->open_to_all) {
+    result.refusal = {kStatusUnauthorized, RefusalReason::no_key};
+    return result;
   }
-  grant.service = routes->service(pick_service(*grant.route));
-  if (grant.service == nullptr) {
-    grant.refusal = {kStatusUnavailable, RefusalReason::no_backend};
+  result.service = routes->service(pick_service(*result.route));
+  if (result.service == nullptr) {
+    result.refusal = {kStatusUnavailable, RefusalReason::no_backend};
   }
-  return grant;
+  return result;
 }
 
 }  // namespace pumicemast
--- a/src/gateway/requests/request_authorizer.h
+++ b/src/gateway/requests/request_authorizer.h
@@ -19,7 +19,7 @@
 };
 
 /// What the configuration says of one request.
-struct RequestGrant {
+struct AuthorizationResult {
   const RouteRule* route = nullptr;         ///< Null when refused for want of one.
   const ServiceProfile* service = nullptr;  ///< Null when refused.
   std::string tenant;                       ///< Empty when the request has none.
@@ -33,7 +33,7 @@
       : random_(static_cast<std::minstd_rand::result_type>(seed)) {}
 
   /// @param routes  the configuration in force; null before the first.
-  RequestGrant authorize(const RouteTable* routes, const RequestFacts& request);
+  AuthorizationResult authorize(const RouteTable* routes, const RequestMetadata& request);
 
  private:
   const std::string& pick_service(const RouteRule& route);
--- a/src/gateway/requests/request_forwarder.cpp
+++ b/src/gateway/requests/request_forwarder.cpp
@@ -11,12 +11,12 @@
 constexpr int kStatusGatewayTimeout = 504;
 constexpr int kFirstServerError = 500;
 /// Attempts whose connection never came up, and which therefore can't have run.
-constexpr std::uint32_t kMaximumUnsentFailures = 4;
+constexpr std::uint32_t kMaximumConnectFailures = 4;
 /// Nothing is begun any more with less time than this.
-constexpr Duration kLeastTimeLeft = milliseconds(30);
+constexpr Duration kMinimumTimeLeft = milliseconds(30);
 
 /// Whether a caller takes an answer of this status to mean that its request did not run.
-bool promises_not_run(int status) {
+bool implies_not_run(int status) {
   constexpr int kStatusTimeout = 408;
   constexpr int kStatusMisdirected = 421;
   constexpr int kStatusTooMany = 429;
@@ -33,31 +33,32 @@
       quarantine_(quarantine),
       options_(options),
       planner_(targets_, options_),
-      relay_(pool_, options_),
-      watch_(pool_, targets_, options_),
+      response_relay_(pool_, options_),
+      attempt_monitor_(pool_, targets_, options_),
       retries_(options.retry_ratio, options.retry_reserve),
       authorizer_(options.seed) {}
 
-void RequestForwarder::on_request(RequestNumber number, RequestFacts request, TimePoint now,
+void RequestForwarder::on_request(RequestNumber number, RequestMetadata request, TimePoint now,
                                   ForwarderActions& actions) {
   ++counters_.requests;
   RequestSession& session = sessions_[number];
   session.request = std::move(request);
   session.arrived = now;
   session.routes = routes_;
-  const RequestGrant grant = authorizer_.authorize(routes_.get(), session.request);
-  session.route = grant.route;
-  session.service = grant.service;
-  session.tenant = grant.tenant;
+  const AuthorizationResult authorization = authorizer_.authorize(routes_.get(), session.request);
+  session.route = authorization.route;
+  session.service = authorization.service;
+  session.tenant = authorization.tenant;
   session.fingerprint = fingerprint_for(session.request.content, session.tenant);
-  session.priority = grant.priority;
-  if (grant.route != nullptr) planner_.plan_times(session);
-  if (grant.refusal) {
-    refuse_unsent(number, session, *grant.refusal, now, actions);
+  session.priority = authorization.priority;
+  if (authorization.route != nullptr) planner_.plan_times(session);
+  if (authorization.refusal) {
+    refuse_before_sending(number, session, *authorization.refusal, now, actions);
     return;
   }
   if (stopping_) {
-    refuse_unsent(number, session, {kStatusUnavailable, RefusalReason::stopping}, now, actions);
+    refuse_before_sending(number, session, {kStatusUnavailable, RefusalReason::stopping}, now,
+                          actions);
     return;
   }
   if (quarantine_.quarantined(session.fingerprint, now)) {
@@ -65,12 +66,13 @@
     refuse(number, session, kStatusUnavailable, RefusalReason::quarantined, {}, now, actions);
     return;
   }
-  retries_.of(session.service->name).on_first_attempt();
+  retries_.for_service(session.service->name).on_first_attempt();
   if (session.returning) ++counters_.returning;
   if (session.service->engine && !session.returning) ++counters_.engine_first_attempts;
   if (must_yield(session, now)) {
     ++counters_.yielded;
-    refuse_unsent(number, session, {kStatusUnavailable, RefusalReason::no_capacity}, now, actions);
+    refuse_before_sending(number, session, {kStatusUnavailable, RefusalReason::no_capacity}, now,
+                          actions);
     return;
   }
   if (dispatch(number, session, now, actions)) return;
@@ -78,12 +80,12 @@
   waiting_.insert(rank_of(number, session));
 }
 
-void RequestForwarder::refuse_unsent(RequestNumber number, RequestSession& session,
-                                     const RequestRefusal& refusal, TimePoint now,
-                                     ForwarderActions& actions) {
-  const bool worth_coming_back = refusal.status == kStatusUnavailable;
+void RequestForwarder::refuse_before_sending(RequestNumber number, RequestSession& session,
+                                             const RequestRefusal& refusal, TimePoint now,
+                                             ForwarderActions& actions) {
+  const bool retryable = refusal.status == kStatusUnavailable;
   const Duration retry_after =
-      worth_coming_back ? planner_.draw_retry_after(session, now) : Duration::zero();
+      retryable ? planner_.random_retry_after(session, now) : Duration::zero();
   refuse(number, session, refusal.status, refusal.reason, retry_after, now, actions);
 }
 
@@ -98,14 +100,15 @@
     give_up(number, session, RefusalReason::quarantined, now, actions);
     return true;
   }
-  const BackendNeed need = planner_.need_of(session, now);
-  const auto choice = pool_.choose(need, session.tried, now);
+  const BackendNeed requirements = planner_.backend_requirements(session, now);
+  const auto choice = pool_.choose(requirements, session.tried_backends, now);
   const bool too_slow = choice && session.service->engine &&
                         choice->expected_ms > planner_.admission_limit_ms(session, now);
   if (!choice || too_slow) {
     session.last_reason = too_slow ? RefusalReason::no_capacity : RefusalReason::no_backend;
     if (too_slow) session.expected_ms = choice->expected_ms;
-    pool_.request_permit(need, session.tried, waiting_.size() + (session.waiting ? 0 : 1), now);
+    pool_.request_permit(requirements, session.tried_backends,
+                         waiting_.size() + (session.waiting ? 0 : 1), now);
     return false;
   }
   send(number, session, *choice, now, actions);
@@ -117,18 +120,18 @@
   session.waiting = false;
   waiting_.erase(rank_of(number, session));
   session.backend = choice.id;
-  session.backend_life = pool_.life_of(choice.id);
+  session.backend_incarnation = pool_.life_of(choice.id);
   session.backend_address = choice.address;
   session.sent_at = now;
   session.last_progress = now;
   session.connected = false;
-  session.head_seen = false;
+  session.head_received = false;
   session.first_token_seen = false;
-  session.events = false;
+  session.streaming = false;
   session.buffered.clear();
-  session.splitter.drop_rest();
-  session.tried.insert(choice.id);
-  session.tried_order += (session.tried_order.empty() ? "" : ",") + choice.id;
+  session.splitter.discard_partial_event();
+  session.tried_backends.insert(choice.id);
+  session.tried_backend_names += (session.tried_backend_names.empty() ? "" : ",") + choice.id;
   session.last_version = choice.weight_version;
   session.naming_age = targets_.age(session.request.model, now);
   if (session.sends == 0) {
@@ -146,13 +149,13 @@
   action.time_left = session.deadline - now;
   action.expected_version =
       targets_.lowest_allowed(session.request.model, now) > 0 ? choice.weight_version : 0;
-  if (session.answer_begun) action.resume_after = session.splitter.last_id().value_or("");
+  if (session.response_started) action.resume_after = session.splitter.last_id().value_or("");
   action.tenant = session.tenant;
-  action.resting_connections = pool_.resting_connections(*session.service);
+  action.max_idle_connections = pool_.resting_connections(*session.service);
   actions.emplace_back(std::move(action));
 }
 
-void RequestForwarder::leave_backend(RequestSession& session) {
+void RequestForwarder::release_backend(RequestSession& session) {
   if (session.backend.empty()) return;
   if (!session.first_token_seen) {
     pool_.on_first_token(session.backend, session.request.prompt_tokens);
@@ -161,9 +164,9 @@
   session.backend.clear();
 }
 
-void RequestForwarder::note_cut_off(const RequestSession& session, TimePoint now,
-                                    ForwarderActions& actions) {
-  crash_witness_.on_cut_off(session.backend_life, session.fingerprint, now);
+void RequestForwarder::record_possible_crash(const RequestSession& session, TimePoint now,
+                                             ForwarderActions& actions) {
+  crash_correlator_.on_cut_off(session.backend_incarnation, session.fingerprint, now);
   // The agent beside an engine tells of its end; nobody does for a plain service.
   if (!session.service->engine) {
     actions.emplace_back(ProbeBackend{session.backend, session.backend_address});
@@ -171,18 +174,18 @@
 }
 
 void RequestForwarder::on_backend_ended(const std::string& backend, TimePoint now) {
-  crash_witness_.on_ended(backend, now);
+  crash_correlator_.on_ended(backend, now);
 }
 
 std::vector<BackendCrash> RequestForwarder::take_crashes(TimePoint now) {
-  std::vector<BackendCrash> crashes = crash_witness_.take_crashes(now);
+  std::vector<BackendCrash> crashes = crash_correlator_.take_crashes(now);
   for (const BackendCrash& crash : crashes) quarantine_.on_crash(crash);
   return crashes;
 }
 
-bool RequestForwarder::may_end_another(const RequestSession& session, TimePoint now) const {
+bool RequestForwarder::may_crash_another(const RequestSession& session, TimePoint now) const {
   if (quarantine_.quarantined(session.fingerprint, now)) return true;
-  if (!crash_witness_.awaits(session.fingerprint, now)) return false;
+  if (!crash_correlator_.awaits(session.fingerprint, now)) return false;
   return quarantine_.ends_under(session.fingerprint) + 1 >= quarantine_.ends_to_convict();
 }
 
@@ -191,16 +194,18 @@
   if (found != sessions_.end()) found->second.connected = true;
 }
 
-void RequestForwarder::on_response_head(RequestNumber number, const ResponseFacts& facts,
+void RequestForwarder::on_response_head(RequestNumber number, const ResponseMetadata& response,
                                         bool event_stream, TimePoint now) {
   const auto found = sessions_.find(number);
   if (found == sessions_.end() || found->second.backend.empty()) return;
   RequestSession& session = found->second;
-  session.head_seen = true;
-  session.facts = facts;
+  session.head_received = true;
+  session.response = response;
   session.last_progress = now;
-  pool_.limits().on_answer(session.backend, facts.rate_limit, facts.success, session.sent_at, now);
-  session.events = event_stream && facts.success && session.route->kind == RequestKind::stream;
+  pool_.limits().on_answer(session.backend, response.rate_limit, response.success, session.sent_at,
+                           now);
+  session.streaming =
+      event_stream && response.success && session.route->kind == RequestKind::stream;
 }
 
 void RequestForwarder::on_response_body(RequestNumber number, std::string_view bytes, TimePoint now,
@@ -208,12 +213,12 @@
   const auto found = sessions_.find(number);
   if (found == sessions_.end() || found->second.backend.empty()) return;
   RequestSession& session = found->second;
-  const bool had_begun = session.first_token_seen;
-  relay_.on_body(number, session, bytes, now, actions);
-  if (!had_begun && session.first_token_seen) note_begin(session, now);
+  const bool had_first_token = session.first_token_seen;
+  response_relay_.on_body(number, session, bytes, now, actions);
+  if (!had_first_token && session.first_token_seen) record_first_token(session, now);
 }
 
-void RequestForwarder::note_begin(RequestSession& session, TimePoint now) {
+void RequestForwarder::record_first_token(RequestSession& session, TimePoint now) {
   if (!session.service->engine) return;
   session.begun_late = targets_.start_forbidden(session.request.model, session.last_version, now);
   if (session.begun_late) ++counters_.begun_late;
@@ -225,52 +230,53 @@
   if (found == sessions_.end() || found->second.backend.empty()) return;
   RequestSession& session = found->second;
   const std::string backend = session.backend;
-  if (session.facts.not_run) {
+  if (session.response.not_run) {
     ++counters_.refused_by_backend;
-    if (session.facts.replaced) {
+    if (session.response.replaced) {
       pool_.on_failure(backend, now);
     } else {
       pool_.on_refusal(backend, now);
     }
     session.last_reason = RefusalReason::backend_refused;
-    recover(number, session, now, actions);
+    retry_or_fail(number, session, now, actions);
     return;
   }
   // Whatever it answered, it has run the request and lives.
   quarantine_.on_ended_well(session.fingerprint, now);
-  if (session.stream_begun && !session.events) {
+  if (session.stream_started && !session.streaming) {
     // A resumption that failed: its answer is not part of the stream.
     session.may_have_run = true;
-    recover(number, session, now, actions);
+    retry_or_fail(number, session, now, actions);
     return;
   }
-  if (!session.answer_begun && session.repeatable() && session.facts.status >= kFirstServerError) {
+  if (!session.response_started && session.repeatable() &&
+      session.response.status >= kFirstServerError) {
     session.may_have_run = true;
     pool_.on_failure(backend, now);
     // Another back end may do better; otherwise this answer is passed on.
-    const auto choice = choose_again(session, now);
+    const auto choice = choose_retry_backend(session, now);
     if (choice) {
-      send_again(number, session, *choice, now, actions);
+      retry_on(number, session, *choice, now, actions);
       return;
     }
   }
-  if (session.facts.success) pool_.on_success(backend);
+  if (session.response.success) pool_.on_success(backend);
   finish(number, session, now, actions);
 }
 
 void RequestForwarder::finish(RequestNumber number, RequestSession& session, TimePoint now,
                               ForwarderActions& actions) {
-  if (!session.answer_begun && promises_not_run(session.facts.status)) {
+  if (!session.response_started && implies_not_run(session.response.status)) {
     // Passed on it would promise that the request did not run, which its back end did not say.
     session.may_have_run = true;
-    leave_backend(session);
+    release_backend(session);
     give_up(number, session, RefusalReason::backend_failed, now, actions);
     return;
   }
-  relay_.finish(number, session, now, actions);
+  response_relay_.finish(number, session, now, actions);
   ++counters_.finished;
-  leave_backend(session);
-  summarize(session, "finished", "", session.facts.status, now);
+  release_backend(session);
+  summarize(session, "finished", "", session.response.status, now);
   sessions_.erase(number);
 }
 
@@ -279,61 +285,62 @@
   const auto found = sessions_.find(number);
   if (found == sessions_.end() || found->second.backend.empty()) return;
   RequestSession& session = found->second;
-  const bool refused_then_cut = session.head_seen && session.facts.not_run;
+  const bool refused_before_loss = session.head_received && session.response.not_run;
   pool_.on_failure(session.backend, now);
-  if (failure == AttemptFailure::cut_off) note_cut_off(session, now, actions);
+  if (failure == AttemptFailure::connection_lost) record_possible_crash(session, now, actions);
   if (failure == AttemptFailure::not_sent) {
     --session.sends;
-    ++session.unsent_failures;
+    ++session.connect_failures;
     session.last_reason = RefusalReason::no_backend;
-  } else if (!refused_then_cut) {
+  } else if (!refused_before_loss) {
     session.may_have_run = true;
     session.last_reason = RefusalReason::backend_failed;
   }
-  if (failure == AttemptFailure::not_sent && !session.answer_begun &&
-      session.unsent_failures <= kMaximumUnsentFailures) {
+  if (failure == AttemptFailure::not_sent && !session.response_started &&
+      session.connect_failures <= kMaximumConnectFailures) {
     // Nothing was sent, so that this is no repeat.
-    leave_backend(session);
+    release_backend(session);
     if (dispatch(number, session, now, actions)) return;
     give_up(number, session, session.last_reason, now, actions);
     return;
   }
-  recover(number, session, now, actions);
+  retry_or_fail(number, session, now, actions);
 }
 
-std::optional<BackendChoice> RequestForwarder::choose_again(const RequestSession& session,
-                                                            TimePoint now) {
-  const bool harmless = !session.may_have_run || session.repeatable();
-  if (!harmless || session.sends >= session.route->attempts) return std::nullopt;
-  if (session.deadline - now <= kLeastTimeLeft) return std::nullopt;
-  if (may_end_another(session, now)) return std::nullopt;
-  const auto choice = pool_.choose(planner_.need_of(session, now), session.tried, now);
+std::optional<BackendChoice> RequestForwarder::choose_retry_backend(const RequestSession& session,
+                                                                    TimePoint now) {
+  const bool safe_to_retry = !session.may_have_run || session.repeatable();
+  if (!safe_to_retry || session.sends >= session.route->attempts) return std::nullopt;
+  if (session.deadline - now <= kMinimumTimeLeft) return std::nullopt;
+  if (may_crash_another(session, now)) return std::nullopt;
+  const auto choice =
+      pool_.choose(planner_.backend_requirements(session, now), session.tried_backends, now);
   if (!choice || choice->expected_ms >= to_fractional_milliseconds(session.deadline - now))
     return std::nullopt;
   // Last, so that only what is sent costs a retry.
-  if (retries_.of(session.service->name).try_spend()) return choice;
+  if (retries_.for_service(session.service->name).try_spend()) return choice;
   ++counters_.budget_exhausted;
   return std::nullopt;
 }
 
-void RequestForwarder::send_again(RequestNumber number, RequestSession& session,
-                                  const BackendChoice& choice, TimePoint now,
-                                  ForwarderActions& actions) {
-  leave_backend(session);
-  ++(session.answer_begun ? counters_.resumes : counters_.repeats);
+void RequestForwarder::retry_on(RequestNumber number, RequestSession& session,
+                                const BackendChoice& choice, TimePoint now,
+                                ForwarderActions& actions) {
+  release_backend(session);
+  ++(session.response_started ? counters_.resumes : counters_.repeats);
   send(number, session, choice, now, actions);
 }
 
-void RequestForwarder::recover(RequestNumber number, RequestSession& session, TimePoint now,
-                               ForwarderActions& actions) {
-  leave_backend(session);
+void RequestForwarder::retry_or_fail(RequestNumber number, RequestSession& session, TimePoint now,
+                                     ForwarderActions& actions) {
+  release_backend(session);
   // What was begun can only go on where a stream says after which event.
-  const bool can_continue =
-      !session.answer_begun || (session.stream_begun && session.splitter.last_id().has_value());
-  const auto choice = can_continue ? choose_again(session, now) : std::nullopt;
+  const bool can_continue = !session.response_started ||
+                            (session.stream_started && session.splitter.last_id().has_value());
+  const auto choice = can_continue ? choose_retry_backend(session, now) : std::nullopt;
   if (choice) {
-    send_again(number, session, *choice, now, actions);
-  } else if (session.answer_begun) {
+    retry_on(number, session, *choice, now, actions);
+  } else if (session.response_started) {
     abort(number, session, RefusalReason::backend_failed, now, actions);
   } else {
     give_up(number, session, session.last_reason, now, actions);
@@ -350,21 +357,21 @@
   }
   const Duration retry_after = reason == RefusalReason::quarantined
                                    ? Duration::zero()
-                                   : planner_.draw_retry_after(session, now);
+                                   : planner_.random_retry_after(session, now);
   refuse(number, session, kStatusUnavailable, reason, retry_after, now, actions);
 }
 
 void RequestForwarder::refuse(RequestNumber number, RequestSession& session, int status,
                               RefusalReason reason, Duration retry_after, TimePoint now,
                               ForwarderActions& actions) {
-  assert(!session.answer_begun);
+  assert(!session.response_started);
   assert(status != kStatusUnavailable || !session.may_have_run);
   ++counters_.refused;
   if (retry_after > Duration::zero()) {
     ++counters_.told_to_return;
-    planner_.note_told(session, retry_after, now);
+    planner_.record_retry_after(session, retry_after, now);
   }
-  actions.emplace_back(RefuseCaller{number, status, reason, retry_after});
+  actions.emplace_back(SendRefusal{number, status, reason, retry_after});
   summarize(session, "refused", to_string(reason), status, now);
   waiting_.erase(rank_of(number, session));
   sessions_.erase(number);
@@ -373,8 +380,8 @@
 void RequestForwarder::abort(RequestNumber number, RequestSession& session, RefusalReason reason,
                              TimePoint now, ForwarderActions& actions) {
   ++counters_.aborted;
-  actions.emplace_back(CutAnswer{number, reason});
-  summarize(session, "aborted", to_string(reason), session.facts.status, now);
+  actions.emplace_back(AbortResponse{number, reason});
+  summarize(session, "aborted", to_string(reason), session.response.status, now);
   sessions_.erase(number);
 }
 
@@ -386,7 +393,7 @@
   ++counters_.callers_gone;
   if (!session.backend.empty()) {
     actions.emplace_back(CancelAttempt{number});
-    leave_backend(session);
+    release_backend(session);
   }
   summarize(session, "gone", "caller_left", 0, now);
   waiting_.erase(rank_of(number, session));
--- a/src/gateway/requests/request_forwarder.h
+++ b/src/gateway/requests/request_forwarder.h
@@ -5,7 +5,7 @@
 /// request_forwarder_time.cpp.
 ///
 /// Invariants:
-/// - each request gets exactly one final action (EndAnswer, RefuseCaller, CutAnswer),
+/// - each request gets exactly one final action (EndResponse, SendRefusal, AbortResponse),
 ///   unless its caller has left;
 /// - a refusal says "not run" only when no back end may have run the request, or ever will;
 /// - a request that may not be repeated is sent again only after proof that it did not run;
@@ -26,13 +26,13 @@
 #include "gateway/backends/weight_targets.h"
 #include "gateway/quarantine/crash_witness.h"
 #include "gateway/quarantine/request_quarantine.h"
-#include "gateway/requests/answer_relay.h"
-#include "gateway/requests/attempt_watch.h"
+#include "gateway/requests/attempt_monitor.h"
 #include "gateway/requests/forwarder_actions.h"
 #include "gateway/requests/forwarder_options.h"
 #include "gateway/requests/request_authorizer.h"
 #include "gateway/requests/request_planner.h"
 #include "gateway/requests/request_session.h"
+#include "gateway/requests/response_relay.h"
 #include "gateway/requests/retry_budgets.h"
 
 namespace pumicemast {
@@ -70,9 +70,9 @@
   /// New requests are refused from now on.
   void set_stopping() { stopping_ = true; }
 
-  void on_request(RequestNumber number, RequestFacts request, TimePoint now,
+  void on_request(RequestNumber number, RequestMetadata request, TimePoint now,
                   ForwarderActions& actions);
-  void on_response_head(RequestNumber number, const ResponseFacts& facts, bool event_stream,
+  void on_response_head(RequestNumber number, const ResponseMetadata& response, bool event_stream,
                         TimePoint now);
   void on_response_body(RequestNumber number, std::string_view bytes, TimePoint now,
                         ForwarderActions& actions);
@@ -95,7 +95,7 @@
   /// returns them. Call often.
   std::vector<BackendCrash> take_crashes(TimePoint now);
   /// Forgets what is of no use any more. Call now and then.
-  void sweep(TimePoint now) { crash_witness_.sweep(now); }
+  void sweep(TimePoint now) { crash_correlator_.sweep(now); }
   /// Requests that ended since the last call.
   std::vector<RequestSummary> take_summaries();
 
@@ -114,8 +114,9 @@
   }
 
   /// Turns away what was sent nowhere; who may succeed later is told when to come back.
-  void refuse_unsent(RequestNumber number, RequestSession& session, const RequestRefusal& refusal,
-                     TimePoint now, ForwarderActions& actions);
+  void refuse_before_sending(RequestNumber number, RequestSession& session,
+                             const RequestRefusal& refusal, TimePoint now,
+                             ForwarderActions& actions);
   /// Whether a caller that comes back is to leave what room there is to others: it can't be
   /// answered in time any more, they can.
   bool must_yield(const RequestSession& session, TimePoint now) const;
@@ -124,22 +125,23 @@
                 ForwarderActions& actions);
   void send(RequestNumber number, RequestSession& session, const BackendChoice& choice,
             TimePoint now, ForwarderActions& actions);
-  void leave_backend(RequestSession& session);
+  void release_backend(RequestSession& session);
   /// The attempt broke off: did its back end end?
-  void note_cut_off(const RequestSession& session, TimePoint now, ForwarderActions& actions);
+  void record_possible_crash(const RequestSession& session, TimePoint now,
+                             ForwarderActions& actions);
   /// Whether the request would be in quarantine if its last attempt ended a back end: that shows a
   /// moment later, and another attempt would end one more.
-  bool may_end_another(const RequestSession& session, TimePoint now) const;
+  bool may_crash_another(const RequestSession& session, TimePoint now) const;
   /// The first token of an attempt came.
-  void note_begin(RequestSession& session, TimePoint now);
+  void record_first_token(RequestSession& session, TimePoint now);
   /// Another back end for a request whose last attempt failed, if it may be sent again at all;
   /// a retry of the budget is then spent.
-  std::optional<BackendChoice> choose_again(const RequestSession& session, TimePoint now);
-  void send_again(RequestNumber number, RequestSession& session, const BackendChoice& choice,
-                  TimePoint now, ForwarderActions& actions);
+  std::optional<BackendChoice> choose_retry_backend(const RequestSession& session, TimePoint now);
+  void retry_on(RequestNumber number, RequestSession& session, const BackendChoice& choice,
+                TimePoint now, ForwarderActions& actions);
   /// After a failed attempt: sends again, or ends the request.
-  void recover(RequestNumber number, RequestSession& session, TimePoint now,
-               ForwarderActions& actions);
+  void retry_or_fail(RequestNumber number, RequestSession& session, TimePoint now,
+                     ForwarderActions& actions);
   void give_up(RequestNumber number, RequestSession& session, RefusalReason reason, TimePoint now,
                ForwarderActions& actions);
   void refuse(RequestNumber number, RequestSession& session, int status, RefusalReason reason,
@@ -149,20 +151,20 @@
   void finish(RequestNumber number, RequestSession& session, TimePoint now,
               ForwarderActions& actions);
   /// Ends what has waited or run for too long; looks after the attempt of what goes on.
-  void keep_deadline(RequestNumber number, RequestSession& session, TimePoint now,
-                     ForwarderActions& actions);
+  void enforce_deadline(RequestNumber number, RequestSession& session, TimePoint now,
+                        ForwarderActions& actions);
   /// Why a request that waited found no room.
-  RefusalReason reason_at_end(const RequestSession& session, TimePoint now) const;
+  RefusalReason refusal_reason_after_wait(const RequestSession& session, TimePoint now) const;
   void end_at_deadline(RequestNumber number, RequestSession& session, TimePoint now,
                        ForwarderActions& actions);
-  void take_back(RequestNumber number, RequestSession& session, TimePoint now,
-                 ForwarderActions& actions);
+  void cancel_late_attempt(RequestNumber number, RequestSession& session, TimePoint now,
+                           ForwarderActions& actions);
   /// Sends a request elsewhere whose back end is silent, if another one may run it.
   void replace_attempt(RequestNumber number, RequestSession& session, TimePoint now,
                        ForwarderActions& actions);
   /// Ends an attempt of a request that came into quarantine before it had begun there.
-  void withdraw(RequestNumber number, RequestSession& session, TimePoint now,
-                ForwarderActions& actions);
+  void cancel_quarantined_attempt(RequestNumber number, RequestSession& session, TimePoint now,
+                                  ForwarderActions& actions);
   void check_attempt(RequestNumber number, RequestSession& session, TimePoint now,
                      ForwarderActions& actions);
   void summarize(const RequestSession& session, const char* outcome, const char* reason, int status,
@@ -173,14 +175,14 @@
   RequestQuarantine& quarantine_;
   ForwarderOptions options_;
   RequestPlanner planner_;
-  AnswerRelay relay_;
-  AttemptWatch watch_;
+  ResponseRelay response_relay_;
+  AttemptMonitor attempt_monitor_;
   RouteTablePointer routes_;
   Sessions sessions_;
   std::set<WaitingRank> waiting_;
   OverloadWatch overload_;
   RetryBudgets retries_;
-  CrashWitness crash_witness_;
+  CrashWitness crash_correlator_;
   std::vector<RequestSummary> summaries_;
   RequestAuthorizer authorizer_;
   ForwarderCounters counters_;
--- a/src/gateway/requests/request_forwarder_time.cpp
+++ b/src/gateway/requests/request_forwarder_time.cpp
@@ -9,22 +9,22 @@
 
 }  // namespace
 
-void RequestForwarder::take_back(RequestNumber number, RequestSession& session, TimePoint now,
-                                 ForwarderActions& actions) {
+void RequestForwarder::cancel_late_attempt(RequestNumber number, RequestSession& session,
+                                           TimePoint now, ForwarderActions& actions) {
   ++counters_.taken_back;
   ++session.taken_back;
   actions.emplace_back(CancelAttempt{number});
   session.may_have_run = true;
   session.last_reason = RefusalReason::weights_stale;
-  recover(number, session, now, actions);
+  retry_or_fail(number, session, now, actions);
 }
 
-void RequestForwarder::withdraw(RequestNumber number, RequestSession& session, TimePoint now,
-                                ForwarderActions& actions) {
+void RequestForwarder::cancel_quarantined_attempt(RequestNumber number, RequestSession& session,
+                                                  TimePoint now, ForwarderActions& actions) {
   actions.emplace_back(CancelAttempt{number});
   session.may_have_run = true;
-  leave_backend(session);
-  if (session.answer_begun) {
+  release_backend(session);
+  if (session.response_started) {
     abort(number, session, RefusalReason::quarantined, now, actions);
   } else {
     give_up(number, session, RefusalReason::quarantined, now, actions);
@@ -34,20 +34,20 @@
 void RequestForwarder::check_attempt(RequestNumber number, RequestSession& session, TimePoint now,
                                      ForwarderActions& actions) {
   if (!session.first_token_seen && quarantine_.quarantined(session.fingerprint, now)) {
-    withdraw(number, session, now, actions);
+    cancel_quarantined_attempt(number, session, now, actions);
     return;
   }
-  switch (watch_.judge(session, now)) {
-    case AttemptState::sound:
+  switch (attempt_monitor_.assess(session, now)) {
+    case AttemptState::healthy:
       return;
     case AttemptState::not_connected:
       actions.emplace_back(CancelAttempt{number});
       on_attempt_failed(number, AttemptFailure::not_sent, now, actions);
       return;
-    case AttemptState::begins_too_late:
-      take_back(number, session, now, actions);
+    case AttemptState::starts_too_late:
+      cancel_late_attempt(number, session, now, actions);
       return;
-    case AttemptState::silent:
+    case AttemptState::stalled:
       replace_attempt(number, session, now, actions);
       return;
   }
@@ -55,13 +55,13 @@
 
 void RequestForwarder::replace_attempt(RequestNumber number, RequestSession& session, TimePoint now,
                                        ForwarderActions& actions) {
-  const auto choice = choose_again(session, now);
+  const auto choice = choose_retry_backend(session, now);
   if (!choice) return;
   actions.emplace_back(CancelAttempt{number});
   pool_.on_failure(session.backend, now);
-  note_cut_off(session, now, actions);
+  record_possible_crash(session, now, actions);
   session.may_have_run = true;
-  send_again(number, session, *choice, now, actions);
+  retry_on(number, session, *choice, now, actions);
 }
 
 void RequestForwarder::on_tick(TimePoint now, ForwarderActions& actions) {
@@ -72,28 +72,29 @@
   for (const RequestNumber number : numbers) {
     const auto found = sessions_.find(number);
     if (found == sessions_.end()) continue;
-    keep_deadline(number, found->second, now, actions);
+    enforce_deadline(number, found->second, now, actions);
   }
 }
 
-void RequestForwarder::keep_deadline(RequestNumber number, RequestSession& session, TimePoint now,
-                                     ForwarderActions& actions) {
+void RequestForwarder::enforce_deadline(RequestNumber number, RequestSession& session,
+                                        TimePoint now, ForwarderActions& actions) {
   if (now >= session.deadline - kDeadlineMargin) {
     end_at_deadline(number, session, now, actions);
   } else if (!session.waiting) {
     check_attempt(number, session, now, actions);
   } else if (now >= session.wait_until) {
     if (!session.returning) overload_.on_turned_away(session.service->name, now);
-    give_up(number, session, reason_at_end(session, now), now, actions);
+    give_up(number, session, refusal_reason_after_wait(session, now), now, actions);
   }
 }
 
-RefusalReason RequestForwarder::reason_at_end(const RequestSession& session, TimePoint now) const {
-  const bool chose_none = session.last_reason == RefusalReason::no_backend;
-  if (chose_none && pool_.limits_requests(session.service->name)) {
+RefusalReason RequestForwarder::refusal_reason_after_wait(const RequestSession& session,
+                                                          TimePoint now) const {
+  const bool no_backend_chosen = session.last_reason == RefusalReason::no_backend;
+  if (no_backend_chosen && pool_.limits_requests(session.service->name)) {
     return RefusalReason::rate_limited;
   }
-  if (!chose_none || !session.service->engine) return session.last_reason;
+  if (!no_backend_chosen || !session.service->engine) return session.last_reason;
   const std::uint64_t lowest = targets_.lowest_allowed(session.request.model, now);
   if (pool_.holds(session.service->name, lowest, now)) return RefusalReason::no_capacity;
   return lowest > 0 ? RefusalReason::weights_stale : RefusalReason::no_backend;
@@ -104,9 +105,9 @@
   if (!session.backend.empty()) {
     session.may_have_run = true;
     actions.emplace_back(CancelAttempt{number});
-    leave_backend(session);
+    release_backend(session);
   }
-  if (session.answer_begun) {
+  if (session.response_started) {
     abort(number, session, RefusalReason::deadline_passed, now, actions);
   } else {
     give_up(number, session, RefusalReason::deadline_passed, now, actions);
--- a/src/gateway/requests/request_planner.cpp
+++ b/src/gateway/requests/request_planner.cpp
@@ -5,12 +5,12 @@
 namespace pumicemast {
 namespace {
 
-constexpr Duration kUnstatedTimeLeft = seconds(30);
+constexpr Duration kDefaultTimeLeft = seconds(30);
 /// Who has waited for such a share of the goal elsewhere can hardly be answered within it.
-constexpr double kReturningShare = 0.5;
+constexpr double kReturningFraction = 0.5;
 
-Duration scaled(Duration duration, double share) {
-  return Duration(static_cast<Duration::rep>(static_cast<double>(duration.count()) * share));
+Duration scaled(Duration duration, double fraction) {
+  return Duration(static_cast<Duration::rep>(static_cast<double>(duration.count()) * fraction));
 }
 
 /// Callers of a service that may wait equally long.
@@ -25,61 +25,63 @@
       options_(options),
       random_(static_cast<std::minstd_rand::result_type>(options.seed)) {}
 
-void RequestPlanner::note_first_asked(RequestSession& session) {
-  session.first_asked = session.arrived;
+void RequestPlanner::estimate_first_arrival(RequestSession& session) {
+  session.first_arrival = session.arrived;
   const Duration stated = session.request.time_left;
   // Without a service the request goes nowhere: its caller lacks a key, for example.
   if (session.service == nullptr || stated <= Duration::zero()) return;
   const std::string group = caller_group(session);
-  const Duration waited = stated_times_.already_waited(group, stated);
-  stated_times_.note(group, stated);
-  session.first_asked = session.arrived - waited;
-  session.returning = waited >= scaled(session.route->goal, kReturningShare);
+  const Duration waited = retry_estimator_.already_waited(group, stated);
+  retry_estimator_.note(group, stated);
+  session.first_arrival = session.arrived - waited;
+  session.returning = waited >= scaled(session.route->goal, kReturningFraction);
 }
 
 void RequestPlanner::plan_times(RequestSession& session) {
-  note_first_asked(session);
+  estimate_first_arrival(session);
   const Duration stated = session.request.time_left;
-  const Duration time_left = stated > Duration::zero() ? stated : kUnstatedTimeLeft;
+  const Duration time_left = stated > Duration::zero() ? stated : kDefaultTimeLeft;
   session.deadline = session.arrived + std::min(time_left, session.route->timeout);
-  session.wait_until = session.arrived + scaled(session.route->goal, options_.wait_share);
+  session.wait_until = session.arrived + scaled(session.route->goal, options_.wait_fraction);
 }
 
-BackendNeed RequestPlanner::need_of(const RequestSession& session, TimePoint now) const {
-  BackendNeed need;
-  need.service = session.service;
-  need.prompt_tokens = session.request.prompt_tokens;
-  need.answer_tokens = session.request.answer_tokens;
-  need.lowest_version = targets_.lowest_allowed(session.request.model, now);
-  need.preferred_version = session.answer_version;
-  need.urgent = session.sends > 0;
-  need.spare_only = session.returning;
-  return need;
+BackendNeed RequestPlanner::backend_requirements(const RequestSession& session,
+                                                 TimePoint now) const {
+  BackendNeed requirements;
+  requirements.service = session.service;
+  requirements.prompt_tokens = session.request.prompt_tokens;
+  requirements.answer_tokens = session.request.answer_tokens;
+  requirements.lowest_version = targets_.lowest_allowed(session.request.model, now);
+  requirements.preferred_version = session.response_version;
+  requirements.urgent = session.sends > 0;
+  requirements.spare_only = session.returning;
+  return requirements;
 }
 
 double RequestPlanner::admission_limit_ms(const RequestSession& session, TimePoint now) const {
   const double goal_ms = to_fractional_milliseconds(session.route->goal);
   // What has begun is worth finishing, also late.
   if (session.sends > 0) return to_fractional_milliseconds(session.deadline - now);
-  const TimePoint since = session.returning ? session.arrived : session.first_asked;
-  return goal_ms * options_.admit_share - to_fractional_milliseconds(now - since);
+  const TimePoint since = session.returning ? session.arrived : session.first_arrival;
+  return goal_ms * options_.admission_fraction - to_fractional_milliseconds(now - since);
 }
 
-void RequestPlanner::note_told(const RequestSession& session, Duration retry_after, TimePoint now) {
+void RequestPlanner::record_retry_after(const RequestSession& session, Duration retry_after,
+                                        TimePoint now) {
   const Duration stated = session.request.time_left;
   if (session.service == nullptr || stated <= Duration::zero()) return;
   const TimePoint returns_at = now + retry_after;
-  stated_times_.note_told(caller_group(session), stated - (returns_at - session.arrived),
-                          returns_at - session.first_asked);
+  retry_estimator_.note_told(caller_group(session), stated - (returns_at - session.arrived),
+                             returns_at - session.first_arrival);
 }
 
-Duration RequestPlanner::draw_retry_after(const RequestSession& session, TimePoint now) {
-  constexpr Duration kLeastUsefulTime = milliseconds(300);
-  const Duration left = session.route == nullptr ? kUnstatedTimeLeft : session.deadline - now;
-  if (left < kLeastUsefulTime) return Duration::zero();
+Duration RequestPlanner::random_retry_after(const RequestSession& session, TimePoint now) {
+  constexpr Duration kMinimumUsefulTime = milliseconds(300);
+  const Duration left = session.route == nullptr ? kDefaultTimeLeft : session.deadline - now;
+  if (left < kMinimumUsefulTime) return Duration::zero();
   std::uniform_real_distribution<double> upper_half(0.5, 1.0);
   const Duration longest =
-      std::min(options_.longest_retry_after, scaled(left, options_.retry_after_share));
+      std::min(options_.max_retry_after, scaled(left, options_.retry_after_fraction));
   return scaled(longest, upper_half(random_));
 }
 
--- a/src/gateway/requests/request_planner.h
+++ b/src/gateway/requests/request_planner.h
@@ -20,20 +20,20 @@
   /// When its caller asked first, until when the request may wait, and until when it must be
   /// answered.
   void plan_times(RequestSession& session);
-  BackendNeed need_of(const RequestSession& session, TimePoint now) const;
+  BackendNeed backend_requirements(const RequestSession& session, TimePoint now) const;
   /// The longest predicted time to the first token with which the request is worth sending.
   double admission_limit_ms(const RequestSession& session, TimePoint now) const;
   /// When a caller that is turned away is to come back; zero when it is not worth it.
-  Duration draw_retry_after(const RequestSession& session, TimePoint now);
+  Duration random_retry_after(const RequestSession& session, TimePoint now);
   /// Its caller is told to come back after so long.
-  void note_told(const RequestSession& session, Duration retry_after, TimePoint now);
+  void record_retry_after(const RequestSession& session, Duration retry_after, TimePoint now);
 
  private:
-  void note_first_asked(RequestSession& session);
+  void estimate_first_arrival(RequestSession& session);
 
   const WeightTargets& targets_;
   const ForwarderOptions& options_;
-  StatedTimes stated_times_;
+  StatedTimes retry_estimator_;
   std::minstd_rand random_;
 };
 
--- a/src/gateway/requests/request_session.cpp
+++ b/src/gateway/requests/request_session.cpp
@@ -50,7 +50,7 @@
   summary.fingerprint = fingerprint;
   summary.outcome = outcome;
   summary.reason = reason;
-  summary.backends = tried_order;
+  summary.backends = tried_backend_names;
   summary.status = status;
   summary.sends = sends;
   summary.configuration = routes ? routes->version() : 0;
--- a/src/gateway/requests/request_session.h
+++ b/src/gateway/requests/request_session.h
@@ -42,7 +42,7 @@
 
 /// What the forwarder knows of a request.
 struct RequestSession {
-  RequestFacts request;
+  RequestMetadata request;
   RouteTablePointer routes;  ///< Keeps `route` alive.
   const RouteRule* route = nullptr;
   const ServiceProfile* service = nullptr;
@@ -51,7 +51,7 @@
   int priority = 0;
   TimePoint arrived{};
   /// When its caller asked first: earlier than `arrived` for one that was refused and came back.
-  TimePoint first_asked{};
+  TimePoint first_arrival{};
   /// Its caller was refused before; an answer would hardly be in time any more.
   bool returning = false;
   TimePoint deadline{};
@@ -59,27 +59,27 @@
   bool waiting = false;
   // The attempt in progress.
   std::string backend;  ///< Empty when there is none.
-  BackendLife backend_life;
+  BackendLife backend_incarnation;
   Address backend_address;
   TimePoint sent_at{};
   TimePoint last_progress{};
   bool connected = false;
-  bool head_seen = false;
+  bool head_received = false;
   bool first_token_seen = false;
-  bool events = false;  ///< The answer in progress is an event stream.
-  ResponseFacts facts;
+  bool streaming = false;  ///< The answer in progress is an event stream.
+  ResponseMetadata response;
   std::string buffered;
   EventSplitter splitter;
   // Over all attempts.
-  std::set<std::string> tried;
+  std::set<std::string> tried_backends;
   std::uint32_t sends = 0;
-  std::uint32_t unsent_failures = 0;
+  std::uint32_t connect_failures = 0;
   std::uint32_t taken_back = 0;  ///< Attempts that would have begun on forbidden weights.
   bool may_have_run = false;
-  bool answer_begun = false;
-  bool stream_begun = false;  ///< The answer begun is an event stream.
-  bool begun_late = false;    ///< It began on weights that no request may begin on any more.
-  std::uint64_t answer_version = 0;
+  bool response_started = false;
+  bool stream_started = false;  ///< The answer begun is an event stream.
+  bool begun_late = false;      ///< It began on weights that no request may begin on any more.
+  std::uint64_t response_version = 0;
   std::uint64_t last_version = 0;
   Duration naming_age = Duration::zero();  ///< Of the newest weights, at the last sending.
   /// Whether another run does no harm.
@@ -88,7 +88,7 @@
   RequestSummary summarize(const char* outcome, const char* reason, int status,
                            TimePoint now) const;
 
-  std::string tried_order;
+  std::string tried_backend_names;
   double expected_ms = 0;
   TimePoint first_sent{};
   TimePoint first_event{};
--- /dev/null
+++ b/src/gateway/requests/response_relay.cpp
@@ -0,0 +1,72 @@
+#include "gateway/requests/response_relay.h"
+
+#include <algorithm>
+
+namespace pumicemast {
+
+void ResponseRelay::record_progress(RequestSession& session, TimePoint now) {
+  if (session.last_event != TimePoint{}) {
+    session.longest_gap = std::max(session.longest_gap, now - session.last_event);
+  }
+  session.last_event = now;
+  session.last_progress = now;
+  if (session.first_token_seen) return;
+  session.first_token_seen = true;
+  pool_.on_first_token(session.backend, session.request.prompt_tokens);
+  if (session.first_event == TimePoint{}) session.first_event = now;
+}
+
+void ResponseRelay::on_body(RequestNumber number, RequestSession& session, std::string_view bytes,
+                            TimePoint now, ForwarderActions& actions) {
+  if (session.streaming) {
+    on_events(number, session, bytes, now, actions);
+    return;
+  }
+  session.last_progress = now;
+  // The answer to a resumption that is no stream is no part of the one that was begun.
+  if (session.stream_started) return;
+  if (session.response_started) {
+    actions.emplace_back(RelayBody{number, std::string(bytes)});
+    return;
+  }
+  session.buffered.append(bytes);
+  if (session.buffered.size() <= options_.max_buffered_response_bytes || session.response.not_run)
+    return;
+  session.response_started = true;
+  actions.emplace_back(BeginResponse{number, std::nullopt});
+  actions.emplace_back(RelayBody{number, std::move(session.buffered)});
+  session.buffered.clear();
+}
+
+void ResponseRelay::on_events(RequestNumber number, RequestSession& session, std::string_view bytes,
+                              TimePoint now, ForwarderActions& actions) {
+  std::string ready =
+      session.route->resumable ? session.splitter.take_complete_events(bytes) : std::string(bytes);
+  if (ready.empty()) return;
+  record_progress(session, now);
+  if (!session.response_started) {
+    session.response_started = true;
+    session.stream_started = true;
+    session.response_version = session.last_version;
+    actions.emplace_back(BeginResponse{number, std::nullopt});
+  }
+  actions.emplace_back(RelayBody{number, std::move(ready)});
+}
+
+void ResponseRelay::finish(RequestNumber number, RequestSession& session, TimePoint now,
+                           ForwarderActions& actions) {
+  if (session.streaming) {
+    const std::string rest = session.splitter.take_partial_event();
+    if (!session.response_started) actions.emplace_back(BeginResponse{number, std::nullopt});
+    if (!rest.empty()) actions.emplace_back(RelayBody{number, rest});
+  } else if (!session.response_started) {
+    actions.emplace_back(BeginResponse{number, session.buffered.size()});
+    if (!session.buffered.empty()) {
+      actions.emplace_back(RelayBody{number, std::move(session.buffered)});
+    }
+    if (session.first_event == TimePoint{}) session.first_event = now;
+  }
+  actions.emplace_back(EndResponse{number});
+}
+
+}  // namespace pumicemast
--- a/src/gateway/requests/answer_relay.h
+++ b/src/gateway/requests/response_relay.h
@@ -13,9 +13,9 @@
 
 namespace pumicemast {
 
-class AnswerRelay {
+class ResponseRelay {
  public:
-  AnswerRelay(BackendPool& pool, const ForwarderOptions& options)
+  ResponseRelay(BackendPool& pool, const ForwarderOptions& options)
       : pool_(pool), options_(options) {}
 
   /// Bytes of the body of the session's attempt in progress.
@@ -28,7 +28,7 @@
  private:
   void on_events(RequestNumber number, RequestSession& session, std::string_view bytes,
                  TimePoint now, ForwarderActions& actions);
-  void note_progress(RequestSession& session, TimePoint now);
+  void record_progress(RequestSession& session, TimePoint now);
 
   BackendPool& pool_;
   const ForwarderOptions& options_;
--- a/src/gateway/requests/retry_budgets.h
+++ b/src/gateway/requests/retry_budgets.h
@@ -16,8 +16,8 @@
   /// @param reserve  retries a service may save up; it has them from the start.
   RetryBudgets(double ratio, double reserve) : ratio_(ratio), allowance_{reserve, 0, true} {}
 
-  RetryBudget& of(const std::string& service) {
-    if (allowance_.full) {
+  RetryBudget& for_service(const std::string& service) {
+    if (allowance_.reserve_granted) {
       return by_service_.try_emplace(service, ratio_, allowance_.reserve).first->second;
     }
     return by_service_.try_emplace(service, ratio_, allowance_.reserve, allowance_.advance)
@@ -26,9 +26,9 @@
   /// When services may be full for the first time, they are granted what they could not save up
   /// until then: what they could, they may have spent in the same window.
   void set_allowance(const RetryAllowance& allowance) {
-    const bool may_be_full_now = allowance.full && !allowance_.full;
+    const bool becomes_granted = allowance.reserve_granted && !allowance_.reserve_granted;
     const double granted =
-        may_be_full_now ? std::max(0.0, allowance.reserve - allowance_.reserve) : 0;
+        becomes_granted ? std::max(0.0, allowance.reserve - allowance_.reserve) : 0;
     allowance_ = allowance;
     for (auto& [service, budget] : by_service_) {
       budget.set_reserve(allowance.reserve);
--- a/src/gateway/requests/retry_share.h
+++ b/src/gateway/requests/retry_share.h
@@ -16,17 +16,17 @@
 namespace pumicemast {
 
 struct RetryShareOptions {
-  double extra = 100;                ///< Retries for a service, of all gateways together.
-  std::uint64_t least_gateways = 1;  ///< That share `extra`.
-  std::uint64_t zones = 1;           ///< Of the whole deployment.
-  Duration window = seconds(10);     ///< In which `extra` may be spent once.
+  double extra = 100;              ///< Retries for a service, of all gateways together.
+  std::uint64_t min_gateways = 1;  ///< That share `extra`.
+  std::uint64_t zones = 1;         ///< Of the whole deployment.
+  Duration window = seconds(10);   ///< In which `extra` may be spent once.
 };
 
 /// What a gateway's retry budgets may hold.
 struct RetryAllowance {
-  double reserve = 0;  ///< Retries that a service may save up.
-  double advance = 0;  ///< Retries that a service has from the start, and pays back.
-  bool full = false;   ///< Services may have the reserve without having earned it.
+  double reserve = 0;            ///< Retries that a service may save up.
+  double advance = 0;            ///< Retries that a service has from the start, and pays back.
+  bool reserve_granted = false;  ///< Services may have the reserve without having earned it.
 
   bool operator==(const RetryAllowance&) const = default;
 };
@@ -37,12 +37,12 @@
   RetryShare(const RetryShareOptions& options, TimePoint started);
 
   /// An agent knows so many gateways.
-  void on_gateways_told(std::uint64_t gateways, TimePoint now);
+  void on_gateway_count(std::uint64_t gateways, TimePoint now);
   /// The zone with the most gateways has so many, as an agent tells.
-  void on_largest_zone_told(std::uint64_t gateways, TimePoint now);
+  void on_largest_zone_gateway_count(std::uint64_t gateways, TimePoint now);
 
   /// The most gateways that an agent told of in the last minutes; 0 while none has told.
-  std::uint64_t told(TimePoint now) { return told_.value(now); }
+  std::uint64_t reported_gateways(TimePoint now) { return gateway_count_.value(now); }
   /// Gateways that are thought to share the retries; 0 while nothing is known.
   std::uint64_t gateways(TimePoint now);
   RetryAllowance allowance(TimePoint now);
@@ -51,8 +51,8 @@
   RetryShareOptions options_;
   TimePoint started_;
   /// Gateways that a cut hides for a while still share the retries.
-  RecentMaximum told_;
-  RecentMaximum largest_zone_;
+  RecentMaximum gateway_count_;
+  RecentMaximum largest_zone_gateway_count_;
 };
 
 }  // namespace pumicemast
--- a/src/gateway/requests/route_table.cpp
+++ b/src/gateway/requests/route_table.cpp
@@ -45,7 +45,7 @@
   return nullptr;
 }
 
-const TenantRule* RouteTable::tenant_of(std::string_view key) const {
+const TenantRule* RouteTable::tenant_for_key(std::string_view key) const {
   const auto found = tenants_by_key_.find(std::string(key));
   return found == tenants_by_key_.end() ? nullptr : &configuration_.tenants[found->second];
 }
--- a/src/gateway/requests/route_table.h
+++ b/src/gateway/requests/route_table.h
@@ -27,7 +27,7 @@
   /// Whether requests need a key at all.
   bool has_tenants() const { return !configuration_.tenants.empty(); }
   /// The tenant that holds `key`, or null.
-  const TenantRule* tenant_of(std::string_view key) const;
+  const TenantRule* tenant_for_key(std::string_view key) const;
   const ServiceProfile* service(const std::string& name) const;
 
  private:
--- a/tests/fuzz/bad_bytes_test.cpp
+++ b/tests/fuzz/bad_bytes_test.cpp
@@ -78,7 +78,7 @@
     status = reader.consume(piece);
     while (status == RequestStatus::complete) {
       const ReceivedRequest request = reader.take_request();
-      const RequestFacts facts = translation.read_request(request);
+      const RequestMetadata facts = translation.read_request(request);
       SendToBackend send;
       send.backend = "i-1";
       send.tenant = "acme";
@@ -108,7 +108,7 @@
   if (reader.head_complete()) {
     const platform::GatewayTranslation translation;
     translation.read_response(reader.head());
-    translation.belongs_to(reader.head(), "9c41");
+    translation.matches_request(reader.head(), "9c41");
     body += "|" + std::to_string(reader.head().result_int());
   }
   return {status == ReadStatus::complete, body};
@@ -222,12 +222,13 @@
           std::string passed_on;
           std::string all;
           for (const std::string_view piece : pieces) {
-            passed_on += splitter.take_whole_events(piece);
+            passed_on += splitter.take_complete_events(piece);
             all += piece;
           }
           const std::string last_id = splitter.last_id().value_or("none");
-          CPPUNIT_ASSERT(passed_on + splitter.take_rest() == all);
-          return Reading{true, passed_on + "|" + last_id + "|" + std::to_string(splitter.events())};
+          CPPUNIT_ASSERT(passed_on + splitter.take_partial_event() == all);
+          return Reading{true,
+                         passed_on + "|" + last_id + "|" + std::to_string(splitter.event_count())};
         });
   }
 
--- a/tests/gateway/backends/backend_permits_test.cpp
+++ b/tests/gateway/backends/backend_permits_test.cpp
@@ -142,7 +142,7 @@
     // One permit for the one request that waits.
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world.pool.permits().open(world.now));
     world.tick(milliseconds(100));
-    const auto* refusal = world.first<RefuseCaller>();
+    const auto* refusal = world.first<SendRefusal>();
     CPPUNIT_ASSERT(refusal != nullptr);
     CPPUNIT_ASSERT(refusal->reason == RefusalReason::rate_limited);
     CPPUNIT_ASSERT(refusal->retry_after > Duration::zero());
--- a/tests/gateway/gateway_cores_test.cpp
+++ b/tests/gateway/gateway_cores_test.cpp
@@ -11,21 +11,21 @@
 /// The small cores of the gateway.
 class GatewayCoresTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GatewayCoresTest);
-  CPPUNIT_TEST(the_longest_prefix_of_the_host_wins);
+  CPPUNIT_TEST(longest_prefix_of_the_host_wins);
   CPPUNIT_TEST(keys_belong_to_tenants);
-  CPPUNIT_TEST(events_are_cut_whole_wherever_the_bytes_break);
-  CPPUNIT_TEST(an_unfinished_event_is_kept_apart);
-  CPPUNIT_TEST(weight_targets_never_go_back);
-  CPPUNIT_TEST(each_named_version_has_its_own_changeover);
-  CPPUNIT_TEST(a_version_found_late_binds_by_when_it_may_have_been_named);
-  CPPUNIT_TEST(a_known_time_of_naming_replaces_an_assumed_one);
-  CPPUNIT_TEST(a_version_heard_of_after_the_next_one_binds_all_the_same);
-  CPPUNIT_TEST(namings_that_still_matter_are_passed_on);
-  CPPUNIT_TEST(log_lines_are_bounded_and_what_is_left_out_is_counted);
+  CPPUNIT_TEST(events_are_split_independently_of_read_boundaries);
+  CPPUNIT_TEST(incomplete_event_is_held_back);
+  CPPUNIT_TEST(newest_weight_version_never_decreases);
+  CPPUNIT_TEST(each_version_has_its_own_changeover);
+  CPPUNIT_TEST(version_discovered_late_uses_the_earliest_possible_naming_time);
+  CPPUNIT_TEST(known_naming_time_replaces_assumed_one);
+  CPPUNIT_TEST(older_version_learned_late_still_takes_effect);
+  CPPUNIT_TEST(namings_still_in_effect_are_forwarded);
+  CPPUNIT_TEST(log_lines_are_limited_and_suppressed_lines_counted);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void the_longest_prefix_of_the_host_wins() {
+  void longest_prefix_of_the_host_wins() {
     FleetConfiguration configuration;
     for (const char* prefix : {"/a/", "/a/b/", "/"}) {
       RouteRule rule;
@@ -43,34 +43,35 @@
 
   void keys_belong_to_tenants() {
     const RouteTable table(tests::GatewayWorld::configuration());
-    CPPUNIT_ASSERT_EQUAL(std::string("acme"), table.tenant_of("key-1")->name);
-    CPPUNIT_ASSERT(table.tenant_of("key-2") == nullptr);
-    CPPUNIT_ASSERT(table.tenant_of("") == nullptr);
+    CPPUNIT_ASSERT_EQUAL(std::string("acme"), table.tenant_for_key("key-1")->name);
+    CPPUNIT_ASSERT(table.tenant_for_key("key-2") == nullptr);
+    CPPUNIT_ASSERT(table.tenant_for_key("") == nullptr);
   }
 
-  void events_are_cut_whole_wherever_the_bytes_break() {
+  void events_are_split_independently_of_read_boundaries() {
     const std::string stream =
         "id: 1\r\ndata: a\r\n\r\nid: 2\ndata: b\n\ndata: c\n\nid: 4\ndata: d\n\n";
-    for (std::size_t piece = 1; piece <= stream.size(); ++piece) {
+    for (std::size_t chunk_size = 1; chunk_size <= stream.size(); ++chunk_size) {
       EventSplitter splitter;
-      std::string whole;
-      for (std::size_t at = 0; at < stream.size(); at += piece) {
-        whole += splitter.take_whole_events(std::string_view(stream).substr(at, piece));
+      std::string complete_events;
+      for (std::size_t at = 0; at < stream.size(); at += chunk_size) {
+        complete_events +=
+            splitter.take_complete_events(std::string_view(stream).substr(at, chunk_size));
       }
-      CPPUNIT_ASSERT_EQUAL(stream, whole);
-      CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, splitter.events());
+      CPPUNIT_ASSERT_EQUAL(stream, complete_events);
+      CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, splitter.event_count());
       CPPUNIT_ASSERT_EQUAL(std::string("4"), *splitter.last_id());
     }
   }
 
-  void an_unfinished_event_is_kept_apart() {
+  void incomplete_event_is_held_back() {
     EventSplitter splitter;
-    CPPUNIT_ASSERT_EQUAL(std::string(), splitter.take_whole_events("id: 7\ndata: x\n"));
+    CPPUNIT_ASSERT_EQUAL(std::string(), splitter.take_complete_events("id: 7\ndata: x\n"));
     CPPUNIT_ASSERT(!splitter.last_id().has_value());
-    CPPUNIT_ASSERT_EQUAL(std::string("id: 7\ndata: x\n"), splitter.take_rest());
+    CPPUNIT_ASSERT_EQUAL(std::string("id: 7\ndata: x\n"), splitter.take_partial_event());
   }
 
-  void weight_targets_never_go_back() {
+  void newest_weight_version_never_decreases() {
     WeightTargets targets(seconds(7));
     const TimePoint now(seconds(10));
     targets.on_named("m", 3, now);
@@ -81,7 +82,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, targets.lowest_allowed("other", now + seconds(9)));
   }
 
-  void each_named_version_has_its_own_changeover() {
+  void each_version_has_its_own_changeover() {
     WeightTargets targets(seconds(7));
     const TimePoint now(seconds(10));
     targets.on_named("m", 2, now);
@@ -91,7 +92,7 @@
   }
 
   // A gateway that could not read the store while version 2 was the newest hears of it from others.
-  void a_version_heard_of_after_the_next_one_binds_all_the_same() {
+  void older_version_learned_late_still_takes_effect() {
     WeightTargets targets(seconds(7));
     const TimePoint now(seconds(100));
     CPPUNIT_ASSERT(targets.on_named("m", 3, now));
@@ -102,7 +103,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, targets.lowest_allowed("m", now + seconds(7)));
   }
 
-  void namings_that_still_matter_are_passed_on() {
+  void namings_still_in_effect_are_forwarded() {
     WeightTargets targets(seconds(7));
     const TimePoint now(seconds(100));
     targets.on_named("m", 2, now - seconds(20));
@@ -122,7 +123,7 @@
 
   // Requests began on old weights beyond their time: the first answer after a lost watch told of a
   // version that had been named during the loss, and it was taken as new.
-  void a_version_found_late_binds_by_when_it_may_have_been_named() {
+  void version_discovered_late_uses_the_earliest_possible_naming_time() {
     WeightTargets targets(seconds(7));
     const TimePoint now(seconds(100));
     CPPUNIT_ASSERT(targets.assumed_naming(Duration::zero(), now) == now);
@@ -134,7 +135,7 @@
     CPPUNIT_ASSERT(targets.assumed_naming(seconds(60), now) == now);
   }
 
-  void a_known_time_of_naming_replaces_an_assumed_one() {
+  void known_naming_time_replaces_assumed_one() {
     WeightTargets targets(seconds(7));
     const TimePoint now(seconds(100));
     CPPUNIT_ASSERT(targets.on_named("m", 2, now - seconds(4), true));
@@ -145,7 +146,7 @@
     CPPUNIT_ASSERT(targets.age("m", now) == seconds(1));
   }
 
-  void log_lines_are_bounded_and_what_is_left_out_is_counted() {
+  void log_lines_are_limited_and_suppressed_lines_counted() {
     LogBudget budget(3);
     TimePoint now(seconds(10));
     int admitted = 0;
--- a/tests/gateway/gateway_settings_test.cpp
+++ b/tests/gateway/gateway_settings_test.cpp
@@ -8,10 +8,10 @@
 
 class GatewaySettingsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GatewaySettingsTest);
-  CPPUNIT_TEST(counts_the_zones_that_are_named);
-  CPPUNIT_TEST(knows_one_zone_when_none_is_named);
-  CPPUNIT_TEST(reads_whom_operators_pardon);
-  CPPUNIT_TEST(tells_which_pardon_is_no_fingerprint);
+  CPPUNIT_TEST(counts_listed_zones);
+  CPPUNIT_TEST(defaults_to_one_zone);
+  CPPUNIT_TEST(reads_pardoned_fingerprints);
+  CPPUNIT_TEST(reports_invalid_pardoned_fingerprint);
   CPPUNIT_TEST_SUITE_END();
 
   tests::TemporaryFolder folder;
@@ -37,16 +37,16 @@
 
  public:
   // As the platform fills in a list: a separator stands after the last name too.
-  void counts_the_zones_that_are_named() {
+  void counts_listed_zones() {
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{3}, read("zones=a;b;c;\n").zones);
   }
 
-  void knows_one_zone_when_none_is_named() {
+  void defaults_to_one_zone() {
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{1}, read("").zones);
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{1}, read("zones=\n").zones);
   }
 
-  void reads_whom_operators_pardon() {
+  void reads_pardoned_fingerprints() {
     const GatewaySettings settings =
         read("",
              "[quarantine]\nhold_ms=60000\npardoned="
@@ -56,7 +56,7 @@
     CPPUNIT_ASSERT(read("").pardoned.empty());
   }
 
-  void tells_which_pardon_is_no_fingerprint() {
+  void reports_invalid_pardoned_fingerprint() {
     for (const char* text : {"12", "0000000000000001000000000000000g", "last"}) {
       Findings findings;
       read("", std::string("[quarantine]\npardoned=") + text + "\n", findings);
--- a/tests/gateway/quarantine/request_quarantine_test.cpp
+++ b/tests/gateway/quarantine/request_quarantine_test.cpp
@@ -280,8 +280,8 @@
     const RequestFingerprint request = convict_in(world);
     world.ask("/chat/1");
     CPPUNIT_ASSERT_EQUAL(503, world.refused_with());
-    CPPUNIT_ASSERT(world.first<RefuseCaller>()->reason == RefusalReason::quarantined);
-    CPPUNIT_ASSERT(world.first<RefuseCaller>()->retry_after == Duration::zero());
+    CPPUNIT_ASSERT(world.first<SendRefusal>()->reason == RefusalReason::quarantined);
+    CPPUNIT_ASSERT(world.first<SendRefusal>()->retry_after == Duration::zero());
     CPPUNIT_ASSERT(world.sent_to().empty());
     world.ask("/chat/2");
     CPPUNIT_ASSERT(!world.sent_to().empty());
@@ -307,7 +307,7 @@
     // Its answer comes well: the verdict was wrong.
     world.body(begun, "id: 2\ndata: y\n\n");
     world.complete(begun);
-    CPPUNIT_ASSERT(world.first<EndAnswer>() != nullptr);
+    CPPUNIT_ASSERT(world.first<EndResponse>() != nullptr);
     world.ask("/chat/1");
     CPPUNIT_ASSERT(!world.sent_to().empty());
   }
@@ -321,9 +321,9 @@
     }
     const RequestNumber third = world.ask("/chat/1");
     const RequestNumber bystander = world.ask("/chat/2");
-    world.fail(bystander, AttemptFailure::cut_off);
+    world.fail(bystander, AttemptFailure::connection_lost);
     CPPUNIT_ASSERT(!world.sent_to().empty());
-    world.fail(third, AttemptFailure::cut_off);
+    world.fail(third, AttemptFailure::connection_lost);
     CPPUNIT_ASSERT_EQUAL(502, world.refused_with());
   }
 
@@ -332,7 +332,7 @@
     world.configure();
     world.add_backend("p1", "plain", 7);
     const RequestNumber number = world.ask("/write/1");
-    world.fail(number, AttemptFailure::cut_off);
+    world.fail(number, AttemptFailure::connection_lost);
     const auto* probe = world.first<ProbeBackend>();
     CPPUNIT_ASSERT(probe != nullptr && probe->backend == "p1");
     CPPUNIT_ASSERT_EQUAL(std::uint16_t{7}, probe->address.port);
--- a/tests/gateway/requests/forwarder_admission_test.cpp
+++ b/tests/gateway/requests/forwarder_admission_test.cpp
@@ -9,27 +9,27 @@
 /// Which requests the forwarder lets in, in which order, and what it tells those it turns away.
 class ForwarderAdmissionTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ForwarderAdmissionTest);
-  CPPUNIT_TEST(without_a_configuration_it_answers_503_and_never_404_or_401);
-  CPPUNIT_TEST(unknown_routes_and_keys_are_refused_by_name);
-  CPPUNIT_TEST(a_stopping_gateway_refuses_as_not_run);
-  CPPUNIT_TEST(the_most_urgent_of_those_that_wait_goes_first);
-  CPPUNIT_TEST(a_request_without_room_is_refused_early_and_told_when_to_come_back);
-  CPPUNIT_TEST(a_refusal_tells_missing_room_from_missing_weights);
-  CPPUNIT_TEST(refusals_at_once_come_back_apart);
-  CPPUNIT_TEST(who_comes_back_is_turned_away_at_once_while_first_attempts_are);
-  CPPUNIT_TEST(who_comes_back_is_served_when_there_is_room);
-  CPPUNIT_TEST(first_attempts_get_room_before_those_that_come_back);
+  CPPUNIT_TEST(missing_configuration_is_refused_with_503_not_404_or_401);
+  CPPUNIT_TEST(unknown_routes_get_404_and_unknown_keys_401);
+  CPPUNIT_TEST(stopping_gateway_refuses_with_503);
+  CPPUNIT_TEST(most_urgent_waiting_request_is_sent_first);
+  CPPUNIT_TEST(request_without_capacity_is_refused_early_with_retry_after);
+  CPPUNIT_TEST(refusal_reason_distinguishes_capacity_from_weights);
+  CPPUNIT_TEST(simultaneous_refusals_get_different_retry_after);
+  CPPUNIT_TEST(returning_request_is_refused_at_once_under_overload);
+  CPPUNIT_TEST(returning_request_is_served_when_capacity_is_free);
+  CPPUNIT_TEST(first_attempts_precede_returning_requests);
   CPPUNIT_TEST_SUITE_END();
 
   tests::GatewayWorld world;
 
  public:
-  void without_a_configuration_it_answers_503_and_never_404_or_401() {
+  void missing_configuration_is_refused_with_503_not_404_or_401() {
     world.ask("/nowhere/", "wrong");
     CPPUNIT_ASSERT_EQUAL(503, world.refused_with());
   }
 
-  void unknown_routes_and_keys_are_refused_by_name() {
+  void unknown_routes_get_404_and_unknown_keys_401() {
     world.configure();
     world.ask("/nowhere/");
     CPPUNIT_ASSERT_EQUAL(404, world.refused_with());
@@ -39,15 +39,15 @@
     CPPUNIT_ASSERT_EQUAL(401, world.refused_with());
   }
 
-  void a_stopping_gateway_refuses_as_not_run() {
+  void stopping_gateway_refuses_with_503() {
     world.add_engines();
     world.forwarder.set_stopping();
     world.ask("/chat/1");
     CPPUNIT_ASSERT_EQUAL(503, world.refused_with());
-    CPPUNIT_ASSERT(world.first<RefuseCaller>()->reason == RefusalReason::stopping);
+    CPPUNIT_ASSERT(world.first<SendRefusal>()->reason == RefusalReason::stopping);
   }
 
-  void the_most_urgent_of_those_that_wait_goes_first() {
+  void most_urgent_waiting_request_is_sent_first() {
     FleetConfiguration configuration = tests::GatewayWorld::configuration();
     configuration.tenants.push_back({"urgent", {"key-0"}, 0});
     configuration.routes[0].priority = 5;
@@ -64,7 +64,7 @@
     CPPUNIT_ASSERT_EQUAL(urgent, world.first<SendToBackend>()->request);
   }
 
-  void a_request_without_room_is_refused_early_and_told_when_to_come_back() {
+  void request_without_capacity_is_refused_early_with_retry_after() {
     world.add_engines();
     world.report(1, 0, 1, 4);
     world.report(2, 0, 1, 4);
@@ -72,17 +72,17 @@
     CPPUNIT_ASSERT(world.actions.empty());  // It waits a moment for room.
     world.tick(milliseconds(100));          // A quarter of its goal.
     CPPUNIT_ASSERT_EQUAL(503, world.refused_with());
-    CPPUNIT_ASSERT(world.first<RefuseCaller>()->retry_after > Duration::zero());
-    CPPUNIT_ASSERT(world.first<RefuseCaller>()->retry_after <= seconds(2));
+    CPPUNIT_ASSERT(world.first<SendRefusal>()->retry_after > Duration::zero());
+    CPPUNIT_ASSERT(world.first<SendRefusal>()->retry_after <= seconds(2));
   }
 
-  void a_refusal_tells_missing_room_from_missing_weights() {
+  void refusal_reason_distinguishes_capacity_from_weights() {
     const auto reason = [&] {
       world.ask("/chat/1");
       world.report(1, 0, 1, 4);
       world.report(2, 0, 2, 4);
       world.tick(milliseconds(100));
-      return std::string(to_string(world.first<RefuseCaller>()->reason));
+      return std::string(to_string(world.first<SendRefusal>()->reason));
     };
     world.configure();
     CPPUNIT_ASSERT_EQUAL(std::string("no_backend"), reason());
@@ -96,7 +96,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("weights_stale"), reason());
   }
 
-  void refusals_at_once_come_back_apart() {
+  void simultaneous_refusals_get_different_retry_after() {
     world.add_engines();
     world.report(1, 0, 1, 4);
     world.report(2, 0, 1, 4);
@@ -104,12 +104,12 @@
     for (int count = 0; count < 8; ++count) world.ask("/chat/1");
     world.tick(milliseconds(100));
     for (const ForwarderAction& action : world.actions) {
-      times.insert(std::get<RefuseCaller>(action).retry_after.count());
+      times.insert(std::get<SendRefusal>(action).retry_after.count());
     }
     CPPUNIT_ASSERT(times.size() > 4);
   }
 
-  void who_comes_back_is_turned_away_at_once_while_first_attempts_are() {
+  void returning_request_is_refused_at_once_under_overload() {
     world.add_busy_engine();
     world.ask("/chat/1");
     world.tick(milliseconds(61));
@@ -124,7 +124,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), world.sent_to());
   }
 
-  void who_comes_back_is_served_when_there_is_room() {
+  void returning_request_is_served_when_capacity_is_free() {
     world.add_busy_engine();
     world.ask("/chat/1");
     world.tick(milliseconds(61));
@@ -135,7 +135,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), world.sent_to());
   }
 
-  void first_attempts_get_room_before_those_that_come_back() {
+  void first_attempts_precede_returning_requests() {
     world.add_busy_engine();
     world.ask("/chat/1", "wrong", milliseconds(4500));  // No service: nothing is learnt from it.
     CPPUNIT_ASSERT_EQUAL(401, world.refused_with());
--- a/tests/gateway/requests/request_forwarder_test.cpp
+++ b/tests/gateway/requests/request_forwarder_test.cpp
@@ -13,34 +13,34 @@
 
 class RequestForwarderTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RequestForwarderTest);
-  CPPUNIT_TEST(hands_on_what_is_left_of_the_time);
-  CPPUNIT_TEST(a_lost_answer_of_what_may_not_be_repeated_promises_nothing);
-  CPPUNIT_TEST(a_connection_that_never_came_up_cannot_have_run);
-  CPPUNIT_TEST(a_refusal_counts_only_when_the_back_end_says_not_run);
-  CPPUNIT_TEST(a_not_run_refusal_is_sent_elsewhere_within_the_attempts);
-  CPPUNIT_TEST(a_failure_of_a_repeatable_request_is_tried_elsewhere);
-  CPPUNIT_TEST(a_failure_that_cannot_be_tried_elsewhere_is_passed_on);
-  CPPUNIT_TEST(a_repeat_after_a_failure_costs_one_retry);
-  CPPUNIT_TEST(a_request_taken_before_a_stop_is_still_tried_elsewhere);
-  CPPUNIT_TEST(a_stream_resumes_after_the_last_whole_event);
-  CPPUNIT_TEST(a_stream_that_cannot_resume_is_cut_and_never_completed);
-  CPPUNIT_TEST(a_failed_resumption_does_not_end_the_stream_as_complete);
-  CPPUNIT_TEST(answers_at_the_route_timeout);
-  CPPUNIT_TEST(a_caller_that_leaves_stops_the_back_end);
-  CPPUNIT_TEST(a_slow_engine_that_lives_is_given_time);
-  CPPUNIT_TEST(a_silent_engine_that_nobody_vouches_for_is_given_up_soon);
-  CPPUNIT_TEST(repeats_are_bounded_by_the_budget);
-  CPPUNIT_TEST(old_weights_start_no_request_after_the_changeover);
-  CPPUNIT_TEST(what_has_not_begun_on_old_weights_is_taken_back_at_the_bound);
-  CPPUNIT_TEST(what_has_begun_on_old_weights_goes_on_beyond_the_bound);
-  CPPUNIT_TEST(what_begins_on_forbidden_weights_all_the_same_is_told);
-  CPPUNIT_TEST(a_plain_answer_is_passed_on_only_when_whole);
+  CPPUNIT_TEST(passes_remaining_time_to_back_end);
+  CPPUNIT_TEST(lost_response_to_non_repeatable_request_is_502_without_retry);
+  CPPUNIT_TEST(failed_connection_is_retried_as_not_run);
+  CPPUNIT_TEST(status_alone_does_not_prove_not_run);
+  CPPUNIT_TEST(not_run_refusal_is_retried_within_attempt_limit);
+  CPPUNIT_TEST(failed_repeatable_request_is_retried_elsewhere);
+  CPPUNIT_TEST(error_response_is_relayed_when_no_retry_is_possible);
+  CPPUNIT_TEST(retry_after_error_response_spends_one_retry);
+  CPPUNIT_TEST(request_accepted_before_stop_is_still_retried);
+  CPPUNIT_TEST(stream_resumes_after_last_complete_event);
+  CPPUNIT_TEST(unresumable_stream_is_aborted_not_completed);
+  CPPUNIT_TEST(failed_resumption_aborts_the_stream);
+  CPPUNIT_TEST(responds_at_route_timeout);
+  CPPUNIT_TEST(caller_disconnect_cancels_the_attempt);
+  CPPUNIT_TEST(slow_engine_with_recent_reports_gets_longer_timeout);
+  CPPUNIT_TEST(stalled_engine_without_reports_is_replaced_quickly);
+  CPPUNIT_TEST(retries_are_bounded_by_the_budget);
+  CPPUNIT_TEST(outdated_weights_get_no_request_after_changeover);
+  CPPUNIT_TEST(unstarted_attempt_on_old_weights_is_cancelled_at_start_bound);
+  CPPUNIT_TEST(started_attempt_on_old_weights_continues_after_start_bound);
+  CPPUNIT_TEST(late_start_on_old_weights_is_reported);
+  CPPUNIT_TEST(plain_response_is_relayed_only_when_complete);
   CPPUNIT_TEST_SUITE_END();
 
   tests::GatewayWorld world;
 
  public:
-  void hands_on_what_is_left_of_the_time() {
+  void passes_remaining_time_to_back_end() {
     world.configure();
     world.add_backend("p1", "plain", 1);
     world.add_backend("p2", "plain", 2);
@@ -48,21 +48,21 @@
     CPPUNIT_ASSERT(world.first<SendToBackend>()->time_left == milliseconds(900));
     CPPUNIT_ASSERT_EQUAL(std::string("acme"), world.first<SendToBackend>()->tenant);
     world.now += milliseconds(300);
-    world.fail(request, AttemptFailure::cut_off);
+    world.fail(request, AttemptFailure::connection_lost);
     CPPUNIT_ASSERT(world.first<SendToBackend>()->time_left == milliseconds(600));
   }
 
-  void a_lost_answer_of_what_may_not_be_repeated_promises_nothing() {
+  void lost_response_to_non_repeatable_request_is_502_without_retry() {
     world.configure();
     world.add_backend("p1", "plain", 1);
     world.add_backend("p2", "plain", 2);
     const RequestNumber request = world.ask("/pay/1");
-    world.fail(request, AttemptFailure::cut_off);
+    world.fail(request, AttemptFailure::connection_lost);
     CPPUNIT_ASSERT_EQUAL(502, world.refused_with());
     CPPUNIT_ASSERT_EQUAL(std::string(), world.sent_to());
   }
 
-  void a_connection_that_never_came_up_cannot_have_run() {
+  void failed_connection_is_retried_as_not_run() {
     world.configure();
     world.add_backend("p1", "plain", 1);
     world.add_backend("p2", "plain", 2);
@@ -74,7 +74,7 @@
     CPPUNIT_ASSERT_EQUAL(503, world.refused_with());
   }
 
-  void a_refusal_counts_only_when_the_back_end_says_not_run() {
+  void status_alone_does_not_prove_not_run() {
     world.configure();
     world.add_backend("p1", "plain", 1);
     // 503 and 429 promise that a request did not run; its back end did not say so.
@@ -86,7 +86,7 @@
     }
   }
 
-  void a_not_run_refusal_is_sent_elsewhere_within_the_attempts() {
+  void not_run_refusal_is_retried_within_attempt_limit() {
     world.configure();
     world.add_backend("p1", "plain", 1);
     world.add_backend("p2", "plain", 2);
@@ -102,7 +102,7 @@
     CPPUNIT_ASSERT_EQUAL(503, world.refused_with());
   }
 
-  void a_failure_of_a_repeatable_request_is_tried_elsewhere() {
+  void failed_repeatable_request_is_retried_elsewhere() {
     world.configure();
     world.add_backend("p1", "plain", 1);
     world.add_backend("p2", "plain", 2);
@@ -115,11 +115,11 @@
     world.body(request, "sorry");
     world.complete(request);
     // No attempt is left: the back end's own failure is passed on, unchanged.
-    CPPUNIT_ASSERT(world.first<BeginAnswer>() != nullptr);
-    CPPUNIT_ASSERT_EQUAL(std::string("sorry"), world.first<RelayBytes>()->bytes);
+    CPPUNIT_ASSERT(world.first<BeginResponse>() != nullptr);
+    CPPUNIT_ASSERT_EQUAL(std::string("sorry"), world.first<RelayBody>()->bytes);
   }
 
-  void a_failure_that_cannot_be_tried_elsewhere_is_passed_on() {
+  void error_response_is_relayed_when_no_retry_is_possible() {
     world.configure();
     world.add_backend("p1", "plain", 1);  // The only one.
     const RequestNumber request = world.ask("/read/1");
@@ -127,87 +127,87 @@
     world.body(request, "sorry");
     world.complete(request);
     CPPUNIT_ASSERT_EQUAL(0, world.refused_with());
-    CPPUNIT_ASSERT_EQUAL(std::string("sorry"), world.first<RelayBytes>()->bytes);
+    CPPUNIT_ASSERT_EQUAL(std::string("sorry"), world.first<RelayBody>()->bytes);
   }
 
-  void a_repeat_after_a_failure_costs_one_retry() {
+  void retry_after_error_response_spends_one_retry() {
     world.configure();
     const ForwarderOptions options;
     const auto reserve = static_cast<int>(options.retry_reserve);
     for (std::uint16_t port = 1; port <= 60; ++port) {
       world.add_backend("p" + std::to_string(port), "plain", port);
     }
-    int repeats = 0;
+    int retries = 0;
     for (int count = 0; count < reserve; ++count) {
       const RequestNumber request = world.ask("/read/1");
       world.head(request, 500);
       world.complete(request);
-      if (!world.sent_to().empty()) ++repeats;
+      if (!world.sent_to().empty()) ++retries;
     }
-    CPPUNIT_ASSERT_EQUAL(reserve, repeats);
+    CPPUNIT_ASSERT_EQUAL(reserve, retries);
   }
 
-  void a_request_taken_before_a_stop_is_still_tried_elsewhere() {
+  void request_accepted_before_stop_is_still_retried() {
     world.configure();
     world.add_backend("p1", "plain", 1);
     world.add_backend("p2", "plain", 2);
     const RequestNumber request = world.ask("/read/1");
     world.forwarder.set_stopping();
-    world.fail(request, AttemptFailure::cut_off);
+    world.fail(request, AttemptFailure::connection_lost);
     CPPUNIT_ASSERT(!world.sent_to().empty());
   }
 
-  void a_stream_resumes_after_the_last_whole_event() {
+  void stream_resumes_after_last_complete_event() {
     world.add_engines();
     const RequestNumber request = world.ask("/chat/1");
     const std::string first = world.sent_to();
     world.head(request, 200, false, true);
     world.body(request, std::string(kFirstEvents) + "id: 3\ndat");
-    CPPUNIT_ASSERT(world.first<BeginAnswer>() != nullptr);
-    CPPUNIT_ASSERT_EQUAL(std::string(kFirstEvents), world.first<RelayBytes>()->bytes);
-    world.fail(request, AttemptFailure::cut_off);
+    CPPUNIT_ASSERT(world.first<BeginResponse>() != nullptr);
+    CPPUNIT_ASSERT_EQUAL(std::string(kFirstEvents), world.first<RelayBody>()->bytes);
+    world.fail(request, AttemptFailure::connection_lost);
     const auto* resumed = world.first<SendToBackend>();
     CPPUNIT_ASSERT(resumed != nullptr && resumed->backend != first);
     CPPUNIT_ASSERT_EQUAL(std::string("2"), resumed->resume_after);
     world.head(request, 200, false, true);
     world.body(request, "id: 3\ndata: c\n\n");
-    CPPUNIT_ASSERT(world.first<BeginAnswer>() == nullptr);  // The first run's head stands.
-    CPPUNIT_ASSERT_EQUAL(std::string("id: 3\ndata: c\n\n"), world.first<RelayBytes>()->bytes);
+    CPPUNIT_ASSERT(world.first<BeginResponse>() == nullptr);  // The first run's head stands.
+    CPPUNIT_ASSERT_EQUAL(std::string("id: 3\ndata: c\n\n"), world.first<RelayBody>()->bytes);
     world.complete(request);
-    CPPUNIT_ASSERT(world.first<EndAnswer>() != nullptr);
+    CPPUNIT_ASSERT(world.first<EndResponse>() != nullptr);
   }
 
-  void a_stream_that_cannot_resume_is_cut_and_never_completed() {
+  void unresumable_stream_is_aborted_not_completed() {
     world.add_engines();
     const RequestNumber request = world.ask("/chat/1");
     world.head(request, 200, false, true);
     world.body(request, kFirstEvents);
-    world.fail(request, AttemptFailure::cut_off);
+    world.fail(request, AttemptFailure::connection_lost);
     world.head(request, 200, false, true);
     world.body(request, "id: 3\ndata: c\n\n");
-    world.fail(request, AttemptFailure::cut_off);  // The second of two attempts.
-    CPPUNIT_ASSERT(world.first<CutAnswer>() != nullptr);
-    CPPUNIT_ASSERT(world.first<EndAnswer>() == nullptr);
+    world.fail(request, AttemptFailure::connection_lost);  // The second of two attempts.
+    CPPUNIT_ASSERT(world.first<AbortResponse>() != nullptr);
+    CPPUNIT_ASSERT(world.first<EndResponse>() == nullptr);
   }
 
-  void a_failed_resumption_does_not_end_the_stream_as_complete() {
+  void failed_resumption_aborts_the_stream() {
     world.add_engines();
     const RequestNumber request = world.ask("/chat/1");
     world.head(request, 200, false, true);
     world.body(request, kFirstEvents);
-    world.fail(request, AttemptFailure::cut_off);
+    world.fail(request, AttemptFailure::connection_lost);
     for (const int status : {500, 404}) {
       world.head(request, status);
       world.body(request, "no");
-      CPPUNIT_ASSERT(world.first<RelayBytes>() == nullptr);
+      CPPUNIT_ASSERT(world.first<RelayBody>() == nullptr);
       if (status == 404) break;
     }
     world.complete(request);
-    CPPUNIT_ASSERT(world.first<EndAnswer>() == nullptr);
-    CPPUNIT_ASSERT(world.first<CutAnswer>() != nullptr);
+    CPPUNIT_ASSERT(world.first<EndResponse>() == nullptr);
+    CPPUNIT_ASSERT(world.first<AbortResponse>() != nullptr);
   }
 
-  void answers_at_the_route_timeout() {
+  void responds_at_route_timeout() {
     world.configure();
     world.add_backend("p1", "plain", 1);
     const RequestNumber request = world.ask("/write/1", "key-1", seconds(60));
@@ -219,7 +219,7 @@
     CPPUNIT_ASSERT_EQUAL(504, world.refused_with());
   }
 
-  void a_caller_that_leaves_stops_the_back_end() {
+  void caller_disconnect_cancels_the_attempt() {
     world.add_engines();
     const RequestNumber request = world.ask("/chat/1");
     world.actions.clear();
@@ -228,7 +228,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, world.forwarder.active());
   }
 
-  void a_slow_engine_that_lives_is_given_time() {
+  void slow_engine_with_recent_reports_gets_longer_timeout() {
     world.add_engines();
     const RequestNumber request = world.ask("/chat/1");
     world.head(request, 200, false, true);
@@ -246,7 +246,7 @@
     CPPUNIT_ASSERT(!world.sent_to().empty());
   }
 
-  void a_silent_engine_that_nobody_vouches_for_is_given_up_soon() {
+  void stalled_engine_without_reports_is_replaced_quickly() {
     world.add_engines();
     const RequestNumber request = world.ask("/chat/1");
     const std::string first = world.sent_to();
@@ -260,27 +260,27 @@
     CPPUNIT_ASSERT_EQUAL(std::string("2"), world.first<SendToBackend>()->resume_after);
   }
 
-  void repeats_are_bounded_by_the_budget() {
+  void retries_are_bounded_by_the_budget() {
     world.configure();
     for (std::uint16_t port = 1; port <= 40; ++port) {
       world.add_backend("p" + std::to_string(port), "plain", port);
     }
-    int repeats = 0;
+    int retries = 0;
     for (int count = 0; count < 40; ++count) {
       const RequestNumber request = world.ask("/read/1");
-      world.fail(request, AttemptFailure::cut_off);
+      world.fail(request, AttemptFailure::connection_lost);
       if (world.sent_to().empty()) continue;
-      ++repeats;
+      ++retries;
       world.head(request, 200);
       world.complete(request);
     }
     const ForwarderOptions options;
-    CPPUNIT_ASSERT(repeats >= 8);
-    CPPUNIT_ASSERT(repeats <= 40 * options.retry_ratio + options.retry_reserve);
+    CPPUNIT_ASSERT(retries >= 8);
+    CPPUNIT_ASSERT(retries <= 40 * options.retry_ratio + options.retry_reserve);
   }
 
   /// A request that goes to e1 on version 1, 1.1 s before requests there may no longer begin.
-  RequestNumber ask_late_in_the_changeover() {
+  RequestNumber send_late_in_changeover() {
     world.add_engines();
     world.targets.set_start_bound(seconds(8));
     world.targets.on_named("m", 2, world.now);
@@ -293,8 +293,8 @@
 
   // The back end is slow, or the way to it: the request would begin on weights that may no longer
   // start any.
-  void what_has_not_begun_on_old_weights_is_taken_back_at_the_bound() {
-    const RequestNumber request = ask_late_in_the_changeover();
+  void unstarted_attempt_on_old_weights_is_cancelled_at_start_bound() {
+    const RequestNumber request = send_late_in_changeover();
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), world.sent_to());
     world.forwarder.on_connected(request);
     world.now += milliseconds(700);
@@ -308,8 +308,8 @@
     CPPUNIT_ASSERT_EQUAL(std::string("e2"), world.sent_to());
   }
 
-  void what_begins_on_forbidden_weights_all_the_same_is_told() {
-    const RequestNumber request = ask_late_in_the_changeover();
+  void late_start_on_old_weights_is_reported() {
+    const RequestNumber request = send_late_in_changeover();
     world.now += seconds(2);  // No tick came between that could have taken it back.
     world.head(request, 200, false, true);
     world.body(request, "id: 1\ndata: a\n\n");
@@ -321,8 +321,8 @@
     CPPUNIT_ASSERT(summaries.back().naming_age > Duration::zero());
   }
 
-  void what_has_begun_on_old_weights_goes_on_beyond_the_bound() {
-    const RequestNumber request = ask_late_in_the_changeover();
+  void started_attempt_on_old_weights_continues_after_start_bound() {
+    const RequestNumber request = send_late_in_changeover();
     world.head(request, 200, false, true);
     world.body(request, "id: 1\ndata: a\n\n");
     world.now += milliseconds(900);
@@ -332,7 +332,7 @@
     CPPUNIT_ASSERT(world.first<CancelAttempt>() == nullptr);
   }
 
-  void old_weights_start_no_request_after_the_changeover() {
+  void outdated_weights_get_no_request_after_changeover() {
     world.add_engines();
     world.targets.on_named("m", 2, world.now);
     world.ask("/chat/1");
@@ -348,7 +348,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, world.first<SendToBackend>()->expected_version);
   }
 
-  void a_plain_answer_is_passed_on_only_when_whole() {
+  void plain_response_is_relayed_only_when_complete() {
     world.configure();
     world.add_backend("p1", "plain", 1);
     world.add_backend("p2", "plain", 2);
@@ -356,12 +356,12 @@
     world.head(request, 200);
     world.body(request, "half of ");
     CPPUNIT_ASSERT(world.actions.empty());
-    world.fail(request, AttemptFailure::cut_off);
+    world.fail(request, AttemptFailure::connection_lost);
     world.head(request, 200);
     world.body(request, "all");
     world.complete(request);
-    CPPUNIT_ASSERT_EQUAL(std::string("all"), world.first<RelayBytes>()->bytes);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, *world.first<BeginAnswer>()->length);
+    CPPUNIT_ASSERT_EQUAL(std::string("all"), world.first<RelayBody>()->bytes);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, *world.first<BeginResponse>()->length);
   }
 };
 
--- a/tests/gateway/requests/retry_share_test.cpp
+++ b/tests/gateway/requests/retry_share_test.cpp
@@ -13,19 +13,19 @@
 // knew, however few.
 class RetryShareTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RetryShareTest);
-  CPPUNIT_TEST(a_restart_of_all_gateways_gives_no_new_reserve);
-  CPPUNIT_TEST(gateways_that_know_of_no_other_take_little);
-  CPPUNIT_TEST(both_sides_of_a_cut_share_one_reserve_after_a_restart);
-  CPPUNIT_TEST(restarts_in_turn_give_no_new_reserve);
-  CPPUNIT_TEST(restarts_again_and_again_give_no_new_reserve);
-  CPPUNIT_TEST(added_gateways_bring_no_reserve_along);
-  CPPUNIT_TEST(no_mixture_of_troubles_breaks_the_bound);
-  CPPUNIT_TEST(a_started_gateway_retries_what_it_has_earned);
-  CPPUNIT_TEST(a_quiet_gateway_has_its_share_after_one_window);
-  CPPUNIT_TEST(a_service_first_asked_for_later_has_its_share_at_once);
-  CPPUNIT_TEST(a_full_budget_is_not_filled_again);
-  CPPUNIT_TEST(more_gateways_make_the_share_smaller_and_a_cut_does_not_make_it_larger);
-  CPPUNIT_TEST(a_restart_costs_few_repeats_while_few_attempts_fail);
+  CPPUNIT_TEST(restarting_all_gateways_grants_no_new_reserve);
+  CPPUNIT_TEST(gateways_without_known_peers_spend_little);
+  CPPUNIT_TEST(partitioned_sides_share_one_reserve_after_restart);
+  CPPUNIT_TEST(rolling_restart_grants_no_new_reserve);
+  CPPUNIT_TEST(repeated_restarts_grant_no_new_reserve);
+  CPPUNIT_TEST(added_gateways_bring_no_reserve);
+  CPPUNIT_TEST(random_faults_stay_within_the_bound);
+  CPPUNIT_TEST(new_gateway_spends_only_earned_retries);
+  CPPUNIT_TEST(idle_gateway_gets_its_share_after_one_window);
+  CPPUNIT_TEST(service_first_used_later_starts_with_its_share);
+  CPPUNIT_TEST(reserve_is_granted_only_once);
+  CPPUNIT_TEST(share_shrinks_with_gateway_count_and_ignores_partitions);
+  CPPUNIT_TEST(restart_suppresses_few_retries_at_low_failure_rates);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr TimePoint kStart{seconds(1000)};
@@ -38,7 +38,7 @@
   static RetryShareOptions options() {
     RetryShareOptions result;
     result.extra = 232;
-    result.least_gateways = 12;
+    result.min_gateways = 12;
     result.zones = 3;
     return result;
   }
@@ -49,7 +49,7 @@
   }
 
   /// Something that happens to a fleet, drawn by lot.
-  static void trouble(tests::RetryFleet& fleet, std::mt19937& random) {
+  static void inject_random_fault(tests::RetryFleet& fleet, std::mt19937& random) {
     const auto draw = [&random](int below) { return static_cast<int>(random() % below); };
     switch (draw(8)) {
       case 0:
@@ -79,7 +79,7 @@
   }
 
  public:
-  void a_restart_of_all_gateways_gives_no_new_reserve() {
+  void restarting_all_gateways_grants_no_new_reserve() {
     for (std::uint32_t seed = 1; seed <= 5; ++seed) {
       tests::RetryFleet fleet(seed, forty_gateways());
       fleet.run(seconds(30));
@@ -91,7 +91,7 @@
     }
   }
 
-  void gateways_that_know_of_no_other_take_little() {
+  void gateways_without_known_peers_spend_little() {
     for (std::uint32_t seed = 1; seed <= 5; ++seed) {
       tests::RetryFleet fleet(seed, forty_gateways());
       fleet.lose_agents();
@@ -103,7 +103,7 @@
     }
   }
 
-  void both_sides_of_a_cut_share_one_reserve_after_a_restart() {
+  void partitioned_sides_share_one_reserve_after_restart() {
     for (std::uint32_t seed = 1; seed <= 5; ++seed) {
       tests::RetryFleet fleet(seed, forty_gateways());
       fleet.run(seconds(20));
@@ -116,7 +116,7 @@
     }
   }
 
-  void restarts_in_turn_give_no_new_reserve() {
+  void rolling_restart_grants_no_new_reserve() {
     for (std::uint32_t seed = 1; seed <= 5; ++seed) {
       tests::RetryFleet fleet(seed, forty_gateways());
       fleet.run(seconds(30));
@@ -131,7 +131,7 @@
     }
   }
 
-  void restarts_again_and_again_give_no_new_reserve() {
+  void repeated_restarts_grant_no_new_reserve() {
     for (std::uint32_t seed = 1; seed <= 5; ++seed) {
       tests::RetryFleet fleet(seed, forty_gateways());
       fleet.run(seconds(30));
@@ -146,7 +146,7 @@
     }
   }
 
-  void added_gateways_bring_no_reserve_along() {
+  void added_gateways_bring_no_reserve() {
     for (std::uint32_t seed = 1; seed <= 5; ++seed) {
       tests::RetryFleet fleet(seed, forty_gateways());
       fleet.run(seconds(30));
@@ -158,23 +158,23 @@
     }
   }
 
-  void no_mixture_of_troubles_breaks_the_bound() {
+  void random_faults_stay_within_the_bound() {
     for (std::uint32_t seed = 1; seed <= 40; ++seed) {
       std::mt19937 random(seed);
       tests::RetryFleet fleet(seed, forty_gateways());
       for (int event = 0; event < 40; ++event) {
-        trouble(fleet, random);
+        inject_random_fault(fleet, random);
         fleet.run(milliseconds(500 * static_cast<std::int64_t>(1 + random() % 20)));
       }
       assert_within(fleet);
     }
   }
 
-  void a_started_gateway_retries_what_it_has_earned() {
+  void new_gateway_spends_only_earned_retries() {
     RetryShare share(options(), kStart);
     RetryBudgets budgets(0.18, 0);
     budgets.set_allowance(share.allowance(kStart));
-    RetryBudget& budget = budgets.of("service");
+    RetryBudget& budget = budgets.for_service("service");
     CPPUNIT_ASSERT_EQUAL(1, spend_all(budget));  // The advance.
     // 2 s of a plain service that gets 3 requests a second here.
     for (int request = 0; request < 6; ++request) budget.on_first_attempt();
@@ -183,56 +183,57 @@
     CPPUNIT_ASSERT_EQUAL(1, spend_all(budget));
   }
 
-  void a_quiet_gateway_has_its_share_after_one_window() {
+  void idle_gateway_gets_its_share_after_one_window() {
     RetryShare share(options(), kStart);
-    share.on_gateways_told(40, kStart);
+    share.on_gateway_count(40, kStart);
     RetryBudgets budgets(0.18, 0);
     budgets.set_allowance(share.allowance(kStart + milliseconds(10900)));
-    CPPUNIT_ASSERT_EQUAL(1, spend_all(budgets.of("service")));
+    CPPUNIT_ASSERT_EQUAL(1, spend_all(budgets.for_service("service")));
     // Of 5.8 that it may have, one is kept for the next process, two may be spent already.
     budgets.set_allowance(share.allowance(kStart + seconds(11)));
-    CPPUNIT_ASSERT_EQUAL(2, spend_all(budgets.of("service")));
-    for (int request = 0; request < 100; ++request) budgets.of("service").on_first_attempt();
-    CPPUNIT_ASSERT_EQUAL(4, spend_all(budgets.of("service")));
+    CPPUNIT_ASSERT_EQUAL(2, spend_all(budgets.for_service("service")));
+    for (int request = 0; request < 100; ++request)
+      budgets.for_service("service").on_first_attempt();
+    CPPUNIT_ASSERT_EQUAL(4, spend_all(budgets.for_service("service")));
   }
 
-  void a_service_first_asked_for_later_has_its_share_at_once() {
+  void service_first_used_later_starts_with_its_share() {
     RetryShare share(options(), kStart);
-    share.on_gateways_told(40, kStart);
+    share.on_gateway_count(40, kStart);
     RetryBudgets budgets(0.18, 0);
     budgets.set_allowance(share.allowance(kStart + seconds(60)));
-    CPPUNIT_ASSERT_EQUAL(4, spend_all(budgets.of("new")));
+    CPPUNIT_ASSERT_EQUAL(4, spend_all(budgets.for_service("new")));
   }
 
-  void a_full_budget_is_not_filled_again() {
+  void reserve_is_granted_only_once() {
     RetryShare share(options(), kStart);
-    share.on_gateways_told(40, kStart);
+    share.on_gateway_count(40, kStart);
     RetryBudgets budgets(0.18, 0);
     budgets.set_allowance(share.allowance(kStart + seconds(11)));
-    spend_all(budgets.of("service"));
-    share.on_gateways_told(42, kStart + seconds(12));
+    spend_all(budgets.for_service("service"));
+    share.on_gateway_count(42, kStart + seconds(12));
     budgets.set_allowance(share.allowance(kStart + seconds(12)));
-    CPPUNIT_ASSERT_EQUAL(0, spend_all(budgets.of("service")));
+    CPPUNIT_ASSERT_EQUAL(0, spend_all(budgets.for_service("service")));
   }
 
-  void more_gateways_make_the_share_smaller_and_a_cut_does_not_make_it_larger() {
+  void share_shrinks_with_gateway_count_and_ignores_partitions() {
     const TimePoint later = kStart + seconds(60);
     RetryShare share(options(), kStart);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(2, share.allowance(later).reserve, 1e-9);  // Nothing is known.
-    share.on_gateways_told(3, later);
+    share.on_gateway_count(3, later);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(232.0 / 12 - 1, share.allowance(later).reserve, 1e-9);
-    share.on_largest_zone_told(14, later);
+    share.on_largest_zone_gateway_count(14, later);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{42}, share.gateways(later));
-    share.on_gateways_told(58, later);
+    share.on_gateway_count(58, later);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(3, share.allowance(later).reserve, 1e-9);
-    share.on_gateways_told(20, later + seconds(300));
+    share.on_gateway_count(20, later + seconds(300));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{58}, share.gateways(later + seconds(300)));
   }
 
   // What the bound costs callers: 7 of 100 attempts fail, as those of a plain service of whose
   // requests half may be repeated and fail 14 times in 100. Seen: 1667 of 1927 failures repeated
   // in the 11 s after a start; with budgets that start full all are.
-  void a_restart_costs_few_repeats_while_few_attempts_fail() {
+  void restart_suppresses_few_retries_at_low_failure_rates() {
     int failures = 0;
     int repeats = 0;
     for (std::uint32_t seed = 1; seed <= 20; ++seed) {
@@ -242,8 +243,8 @@
       failures += fleet.failures();
       repeats += fleet.repeats();
     }
-    const std::string told = std::to_string(repeats) + " of " + std::to_string(failures);
-    CPPUNIT_ASSERT_MESSAGE(told, repeats >= 0.8 * failures);
+    const std::string summary = std::to_string(repeats) + " of " + std::to_string(failures);
+    CPPUNIT_ASSERT_MESSAGE(summary, repeats >= 0.8 * failures);
   }
 };
 
--- a/tests/platform/translation_test.cpp
+++ b/tests/platform/translation_test.cpp
@@ -56,7 +56,7 @@
 
  public:
   void reads_what_the_gateway_decides_upon() {
-    const RequestFacts request = translation.read_request(read(kRequest));
+    const RequestMetadata request = translation.read_request(read(kRequest));
     CPPUNIT_ASSERT_EQUAL(std::string("9c41"), request.id);
     CPPUNIT_ASSERT_EQUAL(std::string("/a/b?c=d"), request.target);
     CPPUNIT_ASSERT_EQUAL(std::string("secret"), request.api_key);
@@ -291,7 +291,7 @@
   static std::string response(const std::string& status, const std::string& fields) {
     return "HTTP/1.1 " + status + "\r\n" + fields + "Content-Length: 0\r\n\r\n";
   }
-  ResponseFacts facts(const std::string& status, const std::string& fields) {
+  ResponseMetadata facts(const std::string& status, const std::string& fields) {
     ResponseReader reader;
     reader.begin(false);
     reader.consume(response(status, fields));
@@ -301,7 +301,7 @@
     ResponseReader reader;
     reader.begin(false);
     reader.consume(response(status, fields));
-    return translation.belongs_to(reader.head(), "9c41");
+    return translation.matches_request(reader.head(), "9c41");
   }
 
   void values_of_other_types_do_no_harm() {
--- a/tests/support/crash_world.cpp
+++ b/tests/support/crash_world.cpp
@@ -255,7 +255,7 @@
   const RequestNumber number = gateway.next++;
   gateway.asked[number] = asked;
   ++(killer_bodies_.contains(body) ? killers_ : ordinary_).asked;
-  RequestFacts facts;
+  RequestMetadata facts;
   facts.id = body + "/" + std::to_string(number);
   facts.host = "api.example";
   facts.target = "/chat/1";
@@ -301,7 +301,7 @@
     return;
   }
   Gateway& gateway = *gateways_[run.gateway];
-  ResponseFacts facts;
+  ResponseMetadata facts;
   facts.status = 200;
   facts.success = true;
   const Run begun = run;
@@ -324,8 +324,8 @@
   engine.runs.clear();
   for (const Run& run : broken) {
     ForwarderActions actions;
-    gateways_[run.gateway]->forwarder.on_attempt_failed(run.request, AttemptFailure::cut_off, now_,
-                                                        actions);
+    gateways_[run.gateway]->forwarder.on_attempt_failed(
+        run.request, AttemptFailure::connection_lost, now_, actions);
     carry_out(run.gateway, actions);
   }
 }
@@ -377,11 +377,11 @@
       submit(index, *send);
     } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
       withdraw(index, cancel->request);
-    } else if (const auto* end = std::get_if<EndAnswer>(&action)) {
+    } else if (const auto* end = std::get_if<EndResponse>(&action)) {
       note_end(index, end->request, &CrashResults::served);
-    } else if (const auto* cut = std::get_if<CutAnswer>(&action)) {
+    } else if (const auto* cut = std::get_if<AbortResponse>(&action)) {
       note_end(index, cut->request, &CrashResults::broken_off);
-    } else if (const auto* refusal = std::get_if<RefuseCaller>(&action)) {
+    } else if (const auto* refusal = std::get_if<SendRefusal>(&action)) {
       const bool quarantined = std::string_view(to_string(refusal->reason)) == "quarantined";
       const bool failed = refusal->reason == RefusalReason::backend_failed;
       note_end(index, refusal->request,
--- a/tests/support/gateway_world.h
+++ b/tests/support/gateway_world.h
@@ -88,7 +88,7 @@
 
   RequestNumber ask(const std::string& target, const std::string& key = "key-1",
                     Duration time_left = seconds(6)) {
-    RequestFacts request;
+    RequestMetadata request;
     request.id = "r" + std::to_string(++number);
     request.host = "api.example";
     request.target = target;
@@ -103,7 +103,7 @@
   }
 
   void head(RequestNumber request, int status, bool not_run = false, bool events = false) {
-    ResponseFacts facts;
+    ResponseMetadata facts;
     facts.status = status;
     facts.not_run = not_run;
     facts.success = status >= 200 && status < 300;
@@ -143,7 +143,7 @@
     return send == nullptr ? "" : send->backend;
   }
   int refused_with() const {
-    const auto* refusal = first<RefuseCaller>();
+    const auto* refusal = first<SendRefusal>();
     return refusal == nullptr ? 0 : refusal->status;
   }
 
--- a/tests/support/limited_fleet.cpp
+++ b/tests/support/limited_fleet.cpp
@@ -197,7 +197,7 @@
   const RequestNumber number = ++gateway.last_request;
   gateway.asked_at[number] = now_;
   ++results_.asked;
-  RequestFacts request;
+  RequestMetadata request;
   request.id = std::to_string(number);
   request.host = "api.example";
   request.target = "/" + request.id;
@@ -222,8 +222,8 @@
 void LimitedFleet::carry_out(std::size_t index, Gateway& gateway, ForwarderActions& actions) {
   for (const ForwarderAction& action : actions) {
     if (const auto* sent = std::get_if<SendToBackend>(&action)) send(index, *sent);
-    if (std::get_if<EndAnswer>(&action) != nullptr) ++results_.served;
-    if (const auto* refusal = std::get_if<RefuseCaller>(&action)) {
+    if (std::get_if<EndResponse>(&action) != nullptr) ++results_.served;
+    if (const auto* refusal = std::get_if<SendRefusal>(&action)) {
       const bool limited = refusal->reason == RefusalReason::rate_limited;
       ++(limited ? results_.rate_limited : results_.refused);
       results_.longest_refusal =
@@ -355,7 +355,7 @@
   Engine& from = *engines_[engine];
   --from.running;
   if (cut_off_.contains(index)) return;
-  ResponseFacts facts;
+  ResponseMetadata facts;
   facts.status = 200;
   facts.success = true;
   if (from.limited) facts.rate_limit.per_second = limit_;
--- a/tests/support/overload_world.cpp
+++ b/tests/support/overload_world.cpp
@@ -189,7 +189,7 @@
 void OverloadWorld::ask(std::uint64_t number) {
   Caller& caller = callers_[number];
   ++caller.attempts;
-  RequestFacts facts;
+  RequestMetadata facts;
   facts.id = std::to_string(number);
   facts.host = "api.example";
   facts.target = std::string("/") + kKinds[caller.kind].name + "/1";
@@ -223,7 +223,7 @@
       const bool first_refused =
           now_ - begin_ > kLearningTime && now_ - gateway.refused_first_at < milliseconds(100);
       if (caller.attempts > 1 && first_refused) ++result_.returns_served_while_first_refused;
-    } else if (const auto* refusal = std::get_if<RefuseCaller>(&action)) {
+    } else if (const auto* refusal = std::get_if<SendRefusal>(&action)) {
       refuse(refusal->request, refusal->retry_after);
     } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
       for (const auto& engine : engines_) engine->model.cancel(cancel->request);
@@ -254,7 +254,7 @@
   ForwarderActions actions;
   if (event.kind == EngineEvent::Kind::tokens) {
     if (event.number == 1) {
-      ResponseFacts facts;
+      ResponseMetadata facts;
       facts.status = 200;
       facts.success = true;
       gateway.forwarder.on_response_head(event.request, facts, true, now_);
--- a/tests/support/retry_fleet.h
+++ b/tests/support/retry_fleet.h
@@ -99,7 +99,7 @@
   Gateway begin(std::size_t zone) const {
     RetryShareOptions options;
     options.extra = kExtra;
-    options.least_gateways = 12;
+    options.min_gateways = 12;
     options.zones = zones_;
     Gateway gateway{zone, RetryShare(options, now_), RetryBudgets(kRatioKept, kExtra)};
     gateway.budgets.set_allowance(gateway.share.allowance(now_));
@@ -125,8 +125,8 @@
     }
     std::uint64_t largest = 0;
     for (const auto& [zone, count] : by_zone) largest = std::max(largest, count);
-    gateway.share.on_gateways_told(known, now_);
-    gateway.share.on_largest_zone_told(largest, now_);
+    gateway.share.on_gateway_count(known, now_);
+    gateway.share.on_largest_zone_gateway_count(largest, now_);
     gateway.budgets.set_allowance(gateway.share.allowance(now_));
   }
 
@@ -144,7 +144,7 @@
   }
 
   void ask(Gateway& gateway) {
-    RetryBudget& budget = gateway.budgets.of("service");
+    RetryBudget& budget = gateway.budgets.for_service("service");
     budget.on_first_attempt();
     ++requests_.back();
     if (!chance(failing_)) return;
