--- a/src/gateway/gateway_daemon.cpp
+++ b/src/gateway/gateway_daemon.cpp
@@ -9,17 +9,19 @@
 namespace {
 
 constexpr Duration kTickInterval = milliseconds(25);
-/// Before a stopping gateway ends, nothing came over callers' connections for so long.
+/// A stopping gateway exits only after this long without a new connection or request.
 constexpr Duration kIdleBeforeExit = milliseconds(500);
 constexpr Duration kSweepInterval = milliseconds(500);
-/// Weight of the last half second in the demand that is told to agents: a burst shows within a
-/// second, the chance of 10 arrivals does not.
+/// Weight of the last half second in the demand reported to agents. With this value a burst shows
+/// within a second, but random variation among 10 arrivals does not.
 constexpr double kDemandSmoothing = 0.4;
-/// Requests that come later are refused as not run: they might not end within the grace.
+/// A stopping gateway accepts requests for this long. Later ones are refused as not run, because
+/// they might not finish within the grace period.
 constexpr Duration kStopAcceptPeriod = milliseconds(3000);
-/// Before the grace ends, what is left is ended here, so that the process ends by itself.
+/// Remaining requests are dropped this long before the grace period ends, so that the process exits
+/// by itself.
 constexpr Duration kStopMargin = milliseconds(300);
-/// A caller that does not read is ended beyond this.
+/// A caller's connection is closed when more response bytes than this are unread.
 constexpr std::size_t kMaximumUnreadBytes = 2U << 20U;
 constexpr int kStatusOk = 200;
 constexpr int kStatusNotFound = 404;
@@ -120,7 +122,7 @@
   const bool grace_ending = since >= settings_.stop_grace - kStopMargin;
   if (!grace_ending && (since < kStopAcceptPeriod || !nothing_left)) return;
   if (!refusing_connections_) refuse_connections(now);
-  // Connections in the system's queue may carry requests: closing now would reset them.
+  // Connections in the listen queue may carry requests; exiting now would reset them.
   const bool idle = now - last_caller_activity_ >= kIdleBeforeExit && !awaits_any_request();
   if (!grace_ending && !idle) return;
   step("finished");
@@ -242,7 +244,7 @@
 void GatewayDaemon::execute_actions(ForwarderActions& actions) {
   for (ForwarderAction& action : actions) queued_actions_.push_back(std::move(action));
   actions.clear();
-  // An action may fail at once and cause others; they are carried out after it, in order.
+  // An action may fail immediately and cause further actions; these are queued behind it.
   if (executing_actions_) return;
   executing_actions_ = true;
   while (!queued_actions_.empty()) {
@@ -257,7 +259,7 @@
 }
 
 void GatewayDaemon::flush_responses() {
-  // One write for all that the actions added to an answer.
+  // One write for all bytes that the actions added to a response.
   const std::vector<RequestNumber> unflushed = std::move(unflushed_requests_);
   unflushed_requests_.clear();
   for (const RequestNumber number : unflushed) {
@@ -326,7 +328,7 @@
   connection.abort_answer();
 }
 
-// ---- what there is ----
+// ---- fleet state ----
 
 void GatewayDaemon::on_routes(const RouteTablePointer& routes) {
   forwarder_.set_routes(routes);
--- a/src/gateway/gateway_daemon.h
+++ b/src/gateway/gateway_daemon.h
@@ -1,6 +1,7 @@
-/// The gateway: takes callers' requests and forwards each to a back end.
+/// The gateway process: accepts callers' requests and forwards each to a back end.
 ///
-/// A shell: sockets and timers become events of the cores, their actions become writes.
+/// The I/O shell around the decision cores: it turns socket and timer events into calls of the
+/// cores and performs the actions that they return.
 #pragma once
 
 #include <deque>
@@ -34,18 +35,18 @@
 
   /// Fails with ErrorCode::unavailable when an address cannot be bound.
   leaf::result<void> start();
-  /// A planned stop: nothing in progress is cut off.
+  /// Starts a graceful stop: requests in progress may finish within the stop grace period.
   void terminate();
-  /// Takes over what may change while running; addresses and names may not.
+  /// Applies the settings that can change at run time; addresses and names require a restart.
   void reload(const GatewaySettings& settings);
 
  private:
-  /// One request in progress, as the shell keeps it.
+  /// The shell's state of one request in progress.
   struct Exchange {
     CallerConnection* connection = nullptr;
     ReceivedRequest request;
     std::string request_id;
-    std::string response_head;  ///< Header lines of the answer to be passed on.
+    std::string response_head;  ///< Header lines of the response to be relayed.
     std::string response_reason;
     int response_status = 0;
     bool response_started = false;
@@ -63,10 +64,10 @@
   void on_attempt_body(RequestNumber number, std::string_view bytes) override;
   void on_attempt_complete(RequestNumber number) override;
   void on_attempt_failed(RequestNumber number, ExchangeFailure failure) override;
-  // What FleetState tells.
+  // FleetState callbacks
   void on_routes(const RouteTablePointer& routes);
   void on_report();
-  /// @param evidence  who says so, for the log.
+  /// @param evidence  source of the information, for the log: "agent" or "probe".
   void on_backend_ended(const std::string& backend, const char* evidence);
 
   CallerLimits limits() const;
@@ -88,15 +89,15 @@
   void update_retry_allowance(TimePoint now);
   void measure_demand();
   void log_summaries();
-  /// Logs which requests ran where a back end ended, and tells other gateways.
+  /// Logs back-end crashes with the requests that were running, and sends them to other gateways.
   void report_crashes();
   void step(const char* event);
   void check_stopped(TimePoint now);
   void refuse_connections(TimePoint now);
-  /// Whether a caller has connected and is yet to send a whole request.
+  /// Whether any connected caller has not yet sent a complete request.
   bool awaits_any_request() const;
   StatusAnswer status(const std::string& path);
-  /// The requests in quarantine, a line each.
+  /// Lists the requests in quarantine, one per line.
   std::string quarantine_page();
 
   GatewaySettings settings_;
@@ -117,14 +118,14 @@
   std::map<const CallerConnection*, std::unique_ptr<CallerConnection>> callers_;
   std::map<RequestNumber, Exchange> exchanges_;
   RequestNumber next_number_ = 1;
-  std::uint64_t previous_first_attempts_ = 0;  ///< Of `demand_`.
-  double demand_ = 0;                          ///< First attempts for engines a second, smoothed.
+  std::uint64_t previous_first_attempts_ = 0;  ///< First attempts at the last update of `demand_`.
+  double demand_ = 0;                          ///< First attempts for engines per second, smoothed.
   std::deque<ForwarderAction> queued_actions_;
-  std::vector<RequestNumber> unflushed_requests_;  ///< Requests whose answers are to be flushed.
+  std::vector<RequestNumber> unflushed_requests_;  ///< Requests with unflushed response bytes.
   bool executing_actions_ = false;
   DeferredDeleter deleter_;
   TimePoint stop_requested_{};
-  TimePoint last_caller_activity_{};  ///< A connection or request came.
+  TimePoint last_caller_activity_{};  ///< Last new connection or request.
   bool refusing_connections_ = false;
   Timer tick_timer_;
   Timer sweep_timer_;
--- a/src/gateway/gateway_log.cpp
+++ b/src/gateway/gateway_log.cpp
@@ -44,7 +44,7 @@
 }
 
 void GatewayLog::log_crash(const BackendCrash& crash) {
-  constexpr std::size_t kMaximumFingerprints = 16;  // As many as an engine runs at once.
+  constexpr std::size_t kMaximumFingerprints = 16;  // Requests that an engine runs at once.
   std::ostringstream text;
   text << "backend id=" << crash.backend.id << " event=ended_under_requests"
        << " in_crowd=" << (crash.in_crowd ? "yes" : "no") << " requests=" << crash.requests.size()
--- a/src/gateway/gateway_log.h
+++ b/src/gateway/gateway_log.h
@@ -1,4 +1,4 @@
-/// The gateway's lines about decisions, within a budget for each kind.
+/// Log of a gateway's decisions, rate-limited for each kind of line.
 #pragma once
 
 #include <string>
@@ -11,18 +11,19 @@
 
 class GatewayLog {
  public:
-  /// @param decisions  "all", "failures" or "none", as the settings say.
+  /// @param decisions  level from the settings: "all", "failures" or "none".
   explicit GatewayLog(std::string decisions);
 
   void set_decisions(std::string decisions) { decisions_ = std::move(decisions); }
   const std::string& decisions() const { return decisions_; }
-  /// A change of what the gateway believes.
+  /// Logs a decision or a change of the gateway's view of the fleet.
   void log_line(const std::string& kind, const std::string& text);
-  /// The one line about a request that has ended; good ones only when all are wanted.
+  /// Logs the summary of a request. One that finished with a single send and did not start late is
+  /// logged only at level "all".
   void log_request(const RequestSummary& summary);
-  /// A back end ended under requests: which.
+  /// Logs the crash of a back end and the requests that were running there.
   void log_crash(const BackendCrash& crash);
-  /// Tells how many lines were left out, and writes what is still held. Call now and then.
+  /// Logs how many lines were suppressed, and flushes the log. Call periodically.
   void flush();
 
  private:
--- a/src/gateway/gateway_metrics.h
+++ b/src/gateway/gateway_metrics.h
@@ -1,4 +1,4 @@
-/// Counters and histograms of a gateway; docs/operators/metrics.md says what each means.
+/// Counters, gauges and histograms of a gateway, described in docs/operators/metrics.md.
 #pragma once
 
 #include "common/metrics.h"
@@ -6,25 +6,25 @@
 
 namespace pumicemast {
 
-/// What a gateway looks like at a moment.
+/// Current values of a gateway's gauges.
 struct GatewayGauges {
   std::size_t active_requests = 0;
   std::size_t waiting_requests = 0;
-  std::uint64_t connections_opened = 0;  ///< To back ends, since the start.
+  std::uint64_t connections_opened = 0;  ///< Connections to back ends since the start.
   std::size_t backends = 0;
   std::size_t reporting_engines = 0;
   std::uint64_t configuration_version = 0;
   std::size_t bytes_queued_to_gateways = 0;
   std::size_t quarantined_requests = 0;
-  std::size_t limited_backends = 0;     ///< That name a limit for all gateways together.
-  std::uint64_t unreadable_limits = 0;  ///< Answers whose limit is no number of requests.
-  std::uint64_t retry_gateways = 0;     ///< Thought to share the retries; 0 while nothing is known.
+  std::size_t limited_backends = 0;     ///< Back ends that state a rate limit for all gateways.
+  std::uint64_t unreadable_limits = 0;  ///< Responses with an invalid rate limit.
+  std::uint64_t retry_gateways = 0;     ///< Estimated to share the retries; 0 when unknown.
 };
 
 class GatewayMetrics {
  public:
   void observe(const RequestSummary& summary);
-  /// @param evidence  who said so: an agent, or a probe.
+  /// @param evidence  source of the information: "agent" or "probe".
   void on_backend_ended(const char* evidence);
   void on_crash(const BackendCrash& crash);
   void update(const ForwarderCounters& counters, const GatewayGauges& figures);
--- a/src/gateway/gateway_protocol.h
+++ b/src/gateway/gateway_protocol.h
@@ -1,7 +1,7 @@
-/// How callers and back ends say what the gateway decides upon.
+/// Encoding of requests and responses between callers, the gateway and back ends.
 ///
-/// Implemented by a translator of the surrounding platform; the gateway itself knows no
-/// header names of it.
+/// Implemented by a translator for the surrounding platform. The gateway itself does not depend on
+/// the platform's header names.
 #pragma once
 
 #include <string>
@@ -15,13 +15,13 @@
  public:
   virtual ~GatewayProtocol() = default;
   virtual RequestMetadata read_request(const ReceivedRequest& request) const = 0;
-  /// The whole request as the back end is to receive it.
+  /// Encodes the complete request to be sent to the back end.
   virtual std::string encode_request(const ReceivedRequest& request,
                                      const SendToBackend& send) const = 0;
-  /// Whether the answer belongs to the request with this id.
+  /// Whether the response belongs to the request with this id.
   virtual bool matches_request(const ResponseHead& head, const std::string& request_id) const = 0;
   virtual ResponseMetadata read_response(const ResponseHead& head) const = 0;
-  /// Header lines of a refusal.
+  /// Encodes the header lines of a refusal.
   virtual std::string refusal_headers(const std::string& request_id,
                                       Duration retry_after) const = 0;
 };
--- a/src/gateway/gateway_settings.cpp
+++ b/src/gateway/gateway_settings.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// @param names  separated by `;`; when there is none, the gateway's own zone is the only one.
+/// @param names  zone names separated by `;`. Without any, the gateway's own zone is counted.
 std::uint32_t count_zones(const std::string& names) {
   std::istringstream stream(names);
   std::set<std::string> zones;
@@ -24,7 +24,7 @@
   for (std::string text; std::getline(stream, text, ';');) {
     const auto request = parse_fingerprint(text);
     settings.require(request.has_value(), "quarantine", "pardoned",
-                     "\"" + text + "\" is no fingerprint of 32 hexadecimal digits");
+                     "\"" + text + "\" is not a fingerprint of 32 hexadecimal digits");
     if (request) result.insert(*request);
   }
   return result;
--- a/src/gateway/gateway_settings.h
+++ b/src/gateway/gateway_settings.h
@@ -1,4 +1,4 @@
-/// Checked settings of a gateway.
+/// Validated settings of a gateway.
 #pragma once
 
 #include <set>
@@ -16,32 +16,32 @@
 
   std::string name;
   std::string zone;
-  std::uint32_t zones = 1;  ///< Of the whole deployment.
+  std::uint32_t zones = 1;  ///< Number of zones of the whole deployment.
   std::string charts;
   Address callers_listen;
   Address ready_listen;
   Address metrics_listen;
-  Address internal_address;    ///< Where other processes of the system reach this one.
-  std::vector<Address> seeds;  ///< Internal addresses of some other gateways.
-  /// A back end that is said to leave gets nothing new after so long.
+  Address internal_address;    ///< Listening address for other processes of the system.
+  std::vector<Address> seeds;  ///< Internal addresses of other gateways to contact at the start.
+  /// Time within which a back end that is leaving must get no new requests.
   Duration leaving_bound = seconds(2);
-  Duration stop_grace = seconds(8);  ///< From SIGTERM to the end at the latest.
-  /// Requests may be sent to older weights for so long after a naming; short of what operators
-  /// allow by the time that a request may wait at its back end.
+  Duration stop_grace = seconds(8);  ///< Longest time from SIGTERM to the exit of the process.
+  /// After a weight version is named as target, requests may be sent to older weights for this
+  /// long. Shorter than `start_bound` by the time that a request may wait at its back end.
   Duration changeover = seconds(7);
-  /// What operators allow: requests on older weights may begin for so long after a naming.
+  /// Operators' limit: requests may start on older weights for this long after a version is named.
   Duration start_bound = seconds(8);
   double retry_ratio = 0.2;
-  double retry_extra = 100;             ///< Of all gateways together.
-  std::uint32_t gateway_count = 12;     ///< Gateways that share `retry_extra`, at least.
-  Duration retry_window = seconds(10);  ///< In which `retry_extra` may be spent once.
-  /// How long a request that ends back ends is run no more.
+  double retry_extra = 100;             ///< Unearned retries of all gateways together.
+  std::uint32_t gateway_count = 12;     ///< Fewest gateways among which `retry_extra` is divided.
+  Duration retry_window = seconds(10);  ///< Period in which `retry_extra` may be spent once.
+  /// How long a request that crashes back ends is quarantined.
   Duration quarantine_hold = seconds(600);
-  /// Requests that are run whatever ended under them.
+  /// Requests that are forwarded regardless of the crashes recorded for them.
   std::set<RequestFingerprint> pardoned;
   std::string decision_log;  ///< "none", "failures" or "all".
 
-  /// Reads and checks everything; faults go to the settings' findings.
+  /// Reads and validates all settings; errors are added to the findings of `settings`.
   static GatewaySettings read(Settings& settings);
   std::string process_name() const { return name; }
 };
--- a/src/gateway/requests/attempt_monitor.cpp
+++ b/src/gateway/requests/attempt_monitor.cpp
@@ -3,7 +3,7 @@
 namespace pumicemast {
 namespace {
 
-/// A plain back end may be silent for so many times the route's goal.
+/// Silence timeout of routes that are no streams, as a multiple of the route's latency goal.
 constexpr int kPlainSilenceGoalMultiple = 2;
 
 }  // namespace
--- a/src/gateway/requests/attempt_monitor.h
+++ b/src/gateway/requests/attempt_monitor.h
@@ -1,4 +1,4 @@
-/// Judges attempts in progress: when one is to be given up, or replaced.
+/// Decides when an attempt in progress is to be cancelled or replaced.
 ///
 /// A decision core: no I/O.
 #pragma once
@@ -12,10 +12,10 @@
 
 enum class AttemptState {
   healthy,
-  not_connected,    ///< Its connection does not come up: nothing was sent.
-  starts_too_late,  ///< It has not begun, and would begin on weights that may start nothing by
-                    ///< then.
-  stalled,          ///< Nothing came for so long that another back end may do better.
+  not_connected,    ///< The connect timeout has expired; nothing was sent.
+  starts_too_late,  ///< No first token yet, and within `late_start_margin` requests may no longer
+                    ///< start on the weights of its back end.
+  stalled,  ///< No data for longer than the silence timeout; another back end may be faster.
 };
 
 class AttemptMonitor {
@@ -24,7 +24,7 @@
                  const ForwarderOptions& options)
       : pool_(pool), targets_(targets), options_(options) {}
 
-  /// @param session  one whose request was sent.
+  /// @param session  a session whose request has been sent to a back end.
   AttemptState assess(const RequestSession& session, TimePoint now) const;
 
  private:
--- a/src/gateway/requests/backend_connections.cpp
+++ b/src/gateway/requests/backend_connections.cpp
@@ -7,11 +7,11 @@
 namespace pumicemast {
 namespace {
 
-/// Bytes that a back end does not acknowledge for so long end the connection.
+/// The connection is closed when a back end does not acknowledge sent bytes for this long.
 constexpr Duration kAcknowledgementTimeout = milliseconds(1500);
-/// An idle connection is used until this long before its peer would close it.
+/// An idle connection is not reused within this time before the peer's stated keep-alive timeout.
 constexpr Duration kKeepAliveMargin = milliseconds(1000);
-/// Where the peer states no time.
+/// Idle timeout when the peer states no keep-alive timeout.
 constexpr Duration kDefaultIdleTimeout = seconds(4);
 
 }  // namespace
@@ -93,8 +93,9 @@
   Attempt& started = *attempt;
   attempts_[send.request] = std::move(attempt);
   const bool connected = connection->connected();
-  // A back end may be silent for seconds before it answers, and with this limit one lost probe
-  // would end a request that may have run. Attempts are judged by AttemptMonitor.
+  // No keep-alive probes during an attempt: a back end may be silent for seconds before it
+  // responds, and with the acknowledgement timeout a single lost probe would end a request that may
+  // have run. AttemptMonitor watches attempts instead.
   connection->set_probing(false);
   started.run(std::move(connection), bytes, head_request);
   if (connected) observer_.on_attempt_connected(send.request);
@@ -121,7 +122,8 @@
                                    std::size_t max_idle) {
   auto& connections = idle_[backend].connections;
   connection->set_idle_since(loop_now());
-  // One that goes silent while it rests would take a request that can't be sent again.
+  // Detects peers that disappear while the connection is idle. Without probes, a non-repeatable
+  // request could be sent on a dead connection and then not be retried.
   connection->set_probing(true);
   connections.push_back(std::move(connection));
   while (connections.size() > max_idle) {
--- a/src/gateway/requests/backend_connections.h
+++ b/src/gateway/requests/backend_connections.h
@@ -1,4 +1,4 @@
-/// Carries single attempts to back ends over kept connections.
+/// Sends single attempts to back ends over pooled keep-alive connections.
 #pragma once
 
 #include <map>
@@ -12,12 +12,12 @@
 
 namespace pumicemast {
 
-/// Told how attempts go, by the number of their request.
+/// Receives the progress of attempts, identified by their request number.
 class AttemptObserver {
  public:
   virtual ~AttemptObserver() = default;
   virtual void on_attempt_connected(RequestNumber number) = 0;
-  /// @return false when the answer belongs to another request.
+  /// @return false when the response belongs to another request.
   virtual bool on_attempt_head(RequestNumber number, const ResponseHead& head) = 0;
   virtual void on_attempt_body(RequestNumber number, std::string_view bytes) = 0;
   virtual void on_attempt_complete(RequestNumber number) = 0;
@@ -29,12 +29,13 @@
   explicit BackendConnections(AttemptObserver& observer);
   ~BackendConnections() override;
 
-  /// Sends `bytes` to the back end of `send`. Observers are told from the loop, never from
-  /// within this call.
+  /// Sends `bytes` to the back end of `send`. Responses and failures are reported later, from the
+  /// event loop. Only on_attempt_connected is called from within this call, when a pooled
+  /// connection is reused.
   void start(const SendToBackend& send, const std::string& bytes, bool head_request);
-  /// Ends the attempt's connection, so that the back end stops.
+  /// Closes the attempt's connection, so that the back end stops working on the request.
   void cancel(RequestNumber number);
-  /// Drops what has rested too long.
+  /// Closes connections that have been idle for too long.
   void expire_idle(TimePoint now);
 
   std::uint64_t connections_opened() const { return connections_opened_; }
@@ -46,7 +47,7 @@
   };
 
   std::unique_ptr<ClientConnection> take_idle(const SendToBackend& send);
-  /// @param most  that may rest for this back end, this one included.
+  /// @param max_idle  limit of idle connections to this back end, including this one.
   void keep_idle(const std::string& backend, std::unique_ptr<ClientConnection> connection,
                  std::size_t max_idle);
   void on_idle_connection_ended(ClientConnection& connection) override;
--- a/src/gateway/requests/event_splitter.h
+++ b/src/gateway/requests/event_splitter.h
@@ -1,7 +1,7 @@
-/// Cuts a `text/event-stream` body into whole events and follows their ids.
+/// Splits a `text/event-stream` body into complete events and tracks their ids.
 ///
-/// Free of I/O. A stream that is to be resumed elsewhere may only be passed on by whole
-/// events: what a back end left unfinished comes again from the next one.
+/// Free of I/O. A stream that may be resumed on another back end must be relayed in complete
+/// events: an event that one back end left incomplete is sent again by the next one.
 #pragma once
 
 #include <cstdint>
@@ -14,13 +14,13 @@
 class EventSplitter {
  public:
   /// Adds received bytes.
-  /// @return the events that are whole now, as received.
+  /// @return the events completed by them, byte for byte.
   std::string take_complete_events(std::string_view bytes);
-  /// Bytes of an event that has not ended; they are forgotten.
+  /// Removes and returns the bytes of an incomplete event.
   std::string take_partial_event();
   void discard_partial_event() { partial_.clear(); }
 
-  /// Id of the last whole event that carried one.
+  /// Id of the last complete event that has one.
   const std::optional<std::string>& last_id() const { return last_id_; }
   std::uint64_t event_count() const { return event_count_; }
 
--- a/src/gateway/requests/forwarder_actions.h
+++ b/src/gateway/requests/forwarder_actions.h
@@ -1,4 +1,4 @@
-/// What goes into the request forwarder, and what it asks its shell to do.
+/// Inputs of the request forwarder, and the actions that it asks its shell to perform.
 #pragma once
 
 #include <cstddef>
@@ -18,24 +18,24 @@
 /// Identifies a request within one gateway.
 using RequestNumber = std::uint64_t;
 
-/// What a caller's request says of itself.
+/// Properties of a request, as its headers and body state them.
 struct RequestMetadata {
-  std::string id;  ///< The caller's own, for logs.
+  std::string id;  ///< Assigned by the caller; used in logs.
   std::string host;
   std::string target;
-  RequestFingerprint content;             ///< Of what it asks for.
+  RequestFingerprint content;             ///< Fingerprint of method, host, target and body.
   std::string api_key;                    ///< Empty when there is none.
-  Duration time_left = Duration::zero();  ///< How long the caller waits; zero: it did not say.
+  Duration time_left = Duration::zero();  ///< Until the caller times out; zero when not stated.
   std::string model;
   double prompt_tokens = 0;
-  double answer_tokens = 0;  ///< As the caller expects; 0: it did not say.
+  double answer_tokens = 0;  ///< Output length expected by the caller; 0 when not stated.
 };
 
-/// How a back end's answer begins, as the translator of its protocol reads it.
+/// Properties of a response head, as decoded by the protocol translator.
 struct ResponseMetadata {
   int status = 0;
-  bool not_run = false;   ///< It says that it did not run the request and never will.
-  bool replaced = false;  ///< Another incarnation has the address.
+  bool not_run = false;   ///< States that the back end did not and never will run the request.
+  bool replaced = false;  ///< Another incarnation of the back end is using the address.
   bool success = false;
   StatedRateLimit rate_limit;
 };
@@ -45,14 +45,14 @@
   no_route,
   no_key,
   no_capacity,
-  rate_limited,     ///< Back ends name limits, of which nothing is left for now.
-  no_backend,       ///< No back end of the service may take it.
-  weights_stale,    ///< Only back ends with older weights than allowed are there.
-  backend_refused,  ///< Back ends declined it.
-  backend_failed,   ///< It may have run; its answer was lost or spoilt.
+  rate_limited,     ///< The rate limits stated by back ends are used up for now.
+  no_backend,       ///< The service has no usable back end.
+  weights_stale,    ///< No back end has weights as new as required.
+  backend_refused,  ///< The back ends tried refused it.
+  backend_failed,   ///< It may have run; its response was lost or invalid.
   deadline_passed,
   stopping,
-  quarantined,  ///< Back ends have ended when they ran it.
+  quarantined,  ///< Back ends have crashed while running it.
 };
 const char* to_string(RefusalReason reason);
 
@@ -62,31 +62,31 @@
   malformed,
 };
 
-// ---- actions, to be carried out in order ----
+// ---- actions, to be performed in order ----
 struct SendToBackend {
   RequestNumber request = 0;
   std::string backend;
   Address address;
   Duration time_left = Duration::zero();
-  std::uint64_t expected_version = 0;  ///< 0: whichever it serves.
-  std::string resume_after;            ///< Id of the last event the caller has; or empty.
+  std::uint64_t expected_version = 0;  ///< Required weight version; 0 for any.
+  std::string resume_after;            ///< Id of the last event sent to the caller; or empty.
   std::string tenant;                  ///< Empty when the request has none.
-  /// Connections to this back end that may rest here between requests.
+  /// Limit of idle connections to this back end that this gateway may keep open.
   std::size_t max_idle_connections = 0;
 };
-/// The caller left, or the attempt is given up: the back end is to stop.
+/// Cancels the attempt, because the caller disconnected or the forwarder gave the attempt up.
 struct CancelAttempt {
   RequestNumber request = 0;
 };
-/// An answer broke off: does a process still listen there?
+/// Checks whether a process still listens at the address after a response broke off.
 struct ProbeBackend {
   std::string backend;
   Address address;
 };
-/// Begins the answer with the head that the back end gave to this attempt.
+/// Starts the response with the head received from the back end in this attempt.
 struct BeginResponse {
   RequestNumber request = 0;
-  std::optional<std::size_t> length;  ///< Chunked when empty.
+  std::optional<std::size_t> length;  ///< Content length; chunked encoding when empty.
 };
 struct RelayBody {
   RequestNumber request = 0;
@@ -99,9 +99,9 @@
   RequestNumber request = 0;
   int status = 0;
   RefusalReason reason = RefusalReason::no_capacity;
-  Duration retry_after = Duration::zero();  ///< Zero: nothing is said.
+  Duration retry_after = Duration::zero();  ///< Zero: no retry time is stated.
 };
-/// The answer can't be completed: the caller must see it fail.
+/// Closes the caller's connection, so that an incomplete response is seen as failed.
 struct AbortResponse {
   RequestNumber request = 0;
   RefusalReason reason = RefusalReason::backend_failed;
--- a/src/gateway/requests/forwarder_options.h
+++ b/src/gateway/requests/forwarder_options.h
@@ -1,4 +1,4 @@
-/// How a gateway carries requests: waits, limits and patience.
+/// Timeouts and limits of request forwarding.
 #pragma once
 
 #include <cstddef>
@@ -10,28 +10,33 @@
 
 struct ForwarderOptions {
   std::uint64_t seed = 1;
-  /// Shared by all gateways: this one's part of the repeats.
+  /// Retries that each first attempt earns, and retries that each service may save up. The bound
+  /// applies to all gateways together; these are the parts of this gateway.
   double retry_ratio = 0.18;
   double retry_reserve = 8;
-  /// A request waits here for room at most this share of its goal.
+  /// Longest wait for capacity, as a fraction of the route's latency goal.
   double wait_fraction = 0.15;
-  /// Admitted when the predicted wait is within this share of what is left of the goal.
+  /// A request is admitted when the predicted time to its first token, plus the time it has waited,
+  /// is within this fraction of the route's latency goal.
   double admission_fraction = 0.85;
-  /// A caller that is refused is told to come back within this share of its time left, at a
-  /// time drawn from the upper half, so that those who were refused together come apart.
+  /// Longest Retry-After of a refusal, as a fraction of the caller's remaining time. The actual
+  /// value is drawn from the upper half, so that callers refused at the same moment do not all
+  /// return at the same moment.
   double retry_after_fraction = 0.32;
   Duration max_retry_after = seconds(2);
+  /// Longest time to establish a connection to a back end.
   Duration connect_timeout = milliseconds(350);
-  /// A back end that is silent for so long is given up, if another one may run the request:
-  /// soon when nothing says that it lives, late when its agent does (it may just be slow, and
-  /// what it has done so far would be done again elsewhere).
+  /// Longest silence of a back end during a stream before the request is moved to another back end,
+  /// if one may run it. The shorter limit applies when no recent agent report says that the back
+  /// end is alive. With such a report it may just be slow, and the work that it has done would have
+  /// to be repeated elsewhere.
   Duration unconfirmed_silence_timeout = milliseconds(350);
   Duration healthy_silence_timeout = milliseconds(1600);
-  /// What has not begun on weights that are about to be forbidden is taken back so long before:
-  /// the word must still reach the back end.
+  /// An attempt without a first token is cancelled this long before requests may no longer start on
+  /// the weights of its back end: the cancellation must still reach the back end in time.
   Duration late_start_margin = milliseconds(300);
-  std::size_t max_buffered_response_bytes = 1U
-                                            << 20U;  ///< Answers up to it are sent only when whole.
+  /// Plain responses up to this size are relayed only when complete.
+  std::size_t max_buffered_response_bytes = 1U << 20U;
 };
 
 }  // namespace pumicemast
--- a/src/gateway/requests/request_authorizer.h
+++ b/src/gateway/requests/request_authorizer.h
@@ -1,6 +1,6 @@
-/// Whether a request is allowed, and by which route, tenant and service.
+/// Decides whether a request is allowed, and resolves its route, tenant and service.
 ///
-/// A decision core: no I/O. Works on one version of the configuration.
+/// A decision core: no I/O. Each decision uses a single version of the configuration.
 #pragma once
 
 #include <optional>
@@ -12,15 +12,15 @@
 
 namespace pumicemast {
 
-/// Why a request is turned away before any back end is looked for.
+/// Refusal of a request before a back end is chosen.
 struct RequestRefusal {
   int status = 0;
   RefusalReason reason = RefusalReason::no_route;
 };
 
-/// What the configuration says of one request.
+/// Outcome of authorizing one request.
 struct AuthorizationResult {
-  const RouteRule* route = nullptr;         ///< Null when refused for want of one.
+  const RouteRule* route = nullptr;         ///< Null when no route matches.
   const ServiceProfile* service = nullptr;  ///< Null when refused.
   std::string tenant;                       ///< Empty when the request has none.
   int priority = 0;
@@ -32,7 +32,7 @@
   explicit RequestAuthorizer(std::uint64_t seed)
       : random_(static_cast<std::minstd_rand::result_type>(seed)) {}
 
-  /// @param routes  the configuration in force; null before the first.
+  /// @param routes  the current configuration; null before the first one has been received.
   AuthorizationResult authorize(const RouteTable* routes, const RequestMetadata& request);
 
  private:
--- a/src/gateway/requests/request_forwarder.cpp
+++ b/src/gateway/requests/request_forwarder.cpp
@@ -10,12 +10,12 @@
 constexpr int kStatusUnavailable = 503;
 constexpr int kStatusGatewayTimeout = 504;
 constexpr int kFirstServerError = 500;
-/// Attempts whose connection never came up, and which therefore can't have run.
+/// Limit of attempts whose connection could not be established, and which thus cannot have run.
 constexpr std::uint32_t kMaximumConnectFailures = 4;
-/// Nothing is begun any more with less time than this.
+/// No retry is sent when less time than this is left until the deadline.
 constexpr Duration kMinimumTimeLeft = milliseconds(30);
 
-/// Whether a caller takes an answer of this status to mean that its request did not run.
+/// Whether callers take a response with this status to mean that the request did not run.
 bool implies_not_run(int status) {
   constexpr int kStatusTimeout = 408;
   constexpr int kStatusMisdirected = 421;
@@ -62,7 +62,7 @@
     return;
   }
   if (quarantine_.quarantined(session.fingerprint, now)) {
-    // It has not run this time, and is not asked to come back: nobody would run it then.
+    // It has not run, but no retry time is stated: while it is in quarantine no gateway runs it.
     refuse(number, session, kStatusUnavailable, RefusalReason::quarantined, {}, now, actions);
     return;
   }
@@ -167,7 +167,7 @@
 void RequestForwarder::record_possible_crash(const RequestSession& session, TimePoint now,
                                              ForwarderActions& actions) {
   crash_correlator_.on_cut_off(session.backend_incarnation, session.fingerprint, now);
-  // The agent beside an engine tells of its end; nobody does for a plain service.
+  // The agent of an engine reports the engine's exit; a plain service has no agent.
   if (!session.service->engine) {
     actions.emplace_back(ProbeBackend{session.backend, session.backend_address});
   }
@@ -241,10 +241,10 @@
     retry_or_fail(number, session, now, actions);
     return;
   }
-  // Whatever it answered, it has run the request and lives.
+  // Whatever the status is, the back end has run the request and is alive.
   quarantine_.on_ended_well(session.fingerprint, now);
   if (session.stream_started && !session.streaming) {
-    // A resumption that failed: its answer is not part of the stream.
+    // The resumption failed; its response is not part of the stream.
     session.may_have_run = true;
     retry_or_fail(number, session, now, actions);
     return;
@@ -253,7 +253,7 @@
       session.response.status >= kFirstServerError) {
     session.may_have_run = true;
     pool_.on_failure(backend, now);
-    // Another back end may do better; otherwise this answer is passed on.
+    // Another back end may succeed; without one, this response is relayed.
     const auto choice = choose_retry_backend(session, now);
     if (choice) {
       retry_on(number, session, *choice, now, actions);
@@ -267,7 +267,7 @@
 void RequestForwarder::finish(RequestNumber number, RequestSession& session, TimePoint now,
                               ForwarderActions& actions) {
   if (!session.response_started && implies_not_run(session.response.status)) {
-    // Passed on it would promise that the request did not run, which its back end did not say.
+    // Relaying it would state that the request did not run, which the back end did not say.
     session.may_have_run = true;
     release_backend(session);
     give_up(number, session, RefusalReason::backend_failed, now, actions);
@@ -298,7 +298,7 @@
   }
   if (failure == AttemptFailure::not_sent && !session.response_started &&
       session.connect_failures <= kMaximumConnectFailures) {
-    // Nothing was sent, so that this is no repeat.
+    // Nothing was sent, so this is not a retry and costs none of the budget.
     release_backend(session);
     if (dispatch(number, session, now, actions)) return;
     give_up(number, session, session.last_reason, now, actions);
@@ -317,7 +317,7 @@
       pool_.choose(planner_.backend_requirements(session, now), session.tried_backends, now);
   if (!choice || choice->expected_ms >= to_fractional_milliseconds(session.deadline - now))
     return std::nullopt;
-  // Last, so that only what is sent costs a retry.
+  // The last check, so that a retry is spent only when the request is sent.
   if (retries_.for_service(session.service->name).try_spend()) return choice;
   ++counters_.budget_exhausted;
   return std::nullopt;
@@ -334,7 +334,7 @@
 void RequestForwarder::retry_or_fail(RequestNumber number, RequestSession& session, TimePoint now,
                                      ForwarderActions& actions) {
   release_backend(session);
-  // What was begun can only go on where a stream says after which event.
+  // A response that has been started can only be continued after an event with an id.
   const bool can_continue = !session.response_started ||
                             (session.stream_started && session.splitter.last_id().has_value());
   const auto choice = can_continue ? choose_retry_backend(session, now) : std::nullopt;
--- a/src/gateway/requests/request_forwarder.h
+++ b/src/gateway/requests/request_forwarder.h
@@ -1,16 +1,17 @@
-/// Carries each caller's request from its arrival to its one final answer.
+/// Forwards each caller's request, from its arrival to its single final response.
 ///
-/// A decision core: no I/O. It authorizes, routes, admits or refuses, sends to a back end,
-/// sends again or resumes what failed, and keeps every deadline. What time alone brings about is in
+/// A decision core: no I/O. It authorizes, routes, admits or refuses requests, sends them to back
+/// ends, retries or resumes failed attempts, and enforces deadlines. The timer-driven part is in
 /// request_forwarder_time.cpp.
 ///
 /// Invariants:
-/// - each request gets exactly one final action (EndResponse, SendRefusal, AbortResponse),
-///   unless its caller has left;
-/// - a refusal says "not run" only when no back end may have run the request, or ever will;
-/// - a request that may not be repeated is sent again only after proof that it did not run;
-/// - a request in quarantine is sent nowhere, and taken back where it has not begun;
-/// - a resumed stream continues after the last whole event that the caller was sent.
+/// - each request gets exactly one final action (EndResponse, SendRefusal, AbortResponse), unless
+///   its caller has disconnected;
+/// - a refusal states "not run" only when no back end can have run the request or ever will;
+/// - a non-repeatable request is retried only after proof that it did not run;
+/// - a quarantined request is not sent to any back end, and an attempt of it without a first token
+///   is cancelled;
+/// - a resumed stream continues after the last complete event that was sent to the caller.
 #pragma once
 
 #include <cstdint>
@@ -39,18 +40,18 @@
 
 struct ForwarderCounters {
   std::uint64_t requests = 0;
-  std::uint64_t engine_first_attempts = 0;  ///< By callers that were not refused before.
-  std::uint64_t returning = 0;              ///< Requests whose callers were held to come back.
-  std::uint64_t told_to_return = 0;         ///< Refused, with the time after which to come back.
+  std::uint64_t engine_first_attempts = 0;  ///< Requests for engines by non-returning callers.
+  std::uint64_t returning = 0;              ///< Requests estimated to be from returning callers.
+  std::uint64_t told_to_return = 0;         ///< Refusals with a Retry-After time.
   std::uint64_t sends = 0;
-  std::uint64_t limited_sends = 0;  ///< To back ends that name a limit.
+  std::uint64_t limited_sends = 0;  ///< To back ends that state a rate limit.
   std::uint64_t repeats = 0;
   std::uint64_t resumes = 0;
   std::uint64_t refused_by_backend = 0;
   std::uint64_t budget_exhausted = 0;
-  std::uint64_t taken_back = 0;
-  std::uint64_t begun_late = 0;  ///< First tokens from weights that may start nothing any more.
-  std::uint64_t yielded = 0;     ///< Refused as returning callers, under overload.
+  std::uint64_t taken_back = 0;  ///< Attempts cancelled because they would have started too late.
+  std::uint64_t begun_late = 0;  ///< First tokens after the start bound of their weights.
+  std::uint64_t yielded = 0;     ///< Requests of returning callers refused under overload.
   std::uint64_t finished = 0;
   std::uint64_t refused = 0;
   std::uint64_t aborted = 0;
@@ -62,12 +63,12 @@
   RequestForwarder(BackendPool& pool, const WeightTargets& targets, RequestQuarantine& quarantine,
                    ForwarderOptions options);
 
-  /// The configuration in force; null before the first.
+  /// Sets the current configuration; null before the first one has been received.
   void set_routes(RouteTablePointer routes) { routes_ = std::move(routes); }
-  /// This gateway's part of the retries that all may spend beyond their share of requests.
+  /// Sets this gateway's part of the unearned retries that all gateways share.
   void set_retry_allowance(const RetryAllowance& allowance) { retries_.set_allowance(allowance); }
   const RetryBudgets& retries() const { return retries_; }
-  /// New requests are refused from now on.
+  /// Refuses new requests from now on.
   void set_stopping() { stopping_ = true; }
 
   void on_request(RequestNumber number, RequestMetadata request, TimePoint now,
@@ -80,29 +81,29 @@
   void on_attempt_failed(RequestNumber number, AttemptFailure failure, TimePoint now,
                          ForwarderActions& actions);
   void on_connected(RequestNumber number);
-  /// The process of a back end has ended, whatever ended it.
+  /// The process of a back end has ended, for any reason.
   void on_backend_ended(const std::string& backend, TimePoint now);
   void on_caller_gone(RequestNumber number, TimePoint now, ForwarderActions& actions);
-  /// Room may have appeared.
+  /// Retries waiting requests: capacity may have become available.
   void on_capacity(TimePoint now, ForwarderActions& actions);
-  /// Keeps deadlines. Call every few hundredths of a second while requests are active.
+  /// Enforces deadlines. Call every few tens of milliseconds while requests are active.
   void on_tick(TimePoint now, ForwarderActions& actions);
 
   std::size_t active() const { return sessions_.size(); }
   std::size_t waiting() const { return waiting_.size(); }
   const ForwarderCounters& counters() const { return counters_; }
-  /// Passes on to the quarantine under which requests back ends have ended since the last call, and
-  /// returns them. Call often.
+  /// Returns the back-end crashes found since the last call, and reports them to the quarantine.
+  /// Call often.
   std::vector<BackendCrash> take_crashes(TimePoint now);
-  /// Forgets what is of no use any more. Call now and then.
+  /// Discards expired state. Call periodically.
   void sweep(TimePoint now) { crash_correlator_.sweep(now); }
-  /// Requests that ended since the last call.
+  /// Returns the requests that ended since the last call.
   std::vector<RequestSummary> take_summaries();
 
  private:
   using Sessions = std::map<RequestNumber, RequestSession>;
-  /// The order in which requests that wait get room: the most urgent first; then those that can
-  /// still be answered in time; then in order of arrival.
+  /// Order in which waiting requests get capacity: by priority, the lowest number first; then those
+  /// not from returning callers, which can still be answered in time; then by arrival.
   struct WaitingRank {
     int priority = 0;
     bool returning = false;
@@ -113,33 +114,34 @@
     return {session.priority, session.returning, number};
   }
 
-  /// Turns away what was sent nowhere; who may succeed later is told when to come back.
+  /// Refuses a request that was not sent to any back end, with a retry time if a later attempt may
+  /// succeed.
   void refuse_before_sending(RequestNumber number, RequestSession& session,
                              const RequestRefusal& refusal, TimePoint now,
                              ForwarderActions& actions);
-  /// Whether a caller that comes back is to leave what room there is to others: it can't be
-  /// answered in time any more, they can.
+  /// Whether a returning caller's request has to leave the remaining capacity to other requests:
+  /// they can still be answered in time, it hardly can.
   bool must_yield(const RequestSession& session, TimePoint now) const;
-  /// @return whether the session was sent, or is over.
+  /// @return whether the request was sent or has ended.
   bool dispatch(RequestNumber number, RequestSession& session, TimePoint now,
                 ForwarderActions& actions);
   void send(RequestNumber number, RequestSession& session, const BackendChoice& choice,
             TimePoint now, ForwarderActions& actions);
   void release_backend(RequestSession& session);
-  /// The attempt broke off: did its back end end?
+  /// Records that the attempt broke off, which may be due to a crash of its back end.
   void record_possible_crash(const RequestSession& session, TimePoint now,
                              ForwarderActions& actions);
-  /// Whether the request would be in quarantine if its last attempt ended a back end: that shows a
-  /// moment later, and another attempt would end one more.
+  /// Whether the request is in quarantine, or would be if its last attempt crashed a back end. A
+  /// crash is confirmed only a moment later, and another attempt would crash one more.
   bool may_crash_another(const RequestSession& session, TimePoint now) const;
-  /// The first token of an attempt came.
+  /// Handles the first token of an attempt.
   void record_first_token(RequestSession& session, TimePoint now);
-  /// Another back end for a request whose last attempt failed, if it may be sent again at all;
-  /// a retry of the budget is then spent.
+  /// Chooses another back end for a request whose last attempt failed, if it may be retried.
+  /// Spends a retry of the budget when it returns one.
   std::optional<BackendChoice> choose_retry_backend(const RequestSession& session, TimePoint now);
   void retry_on(RequestNumber number, RequestSession& session, const BackendChoice& choice,
                 TimePoint now, ForwarderActions& actions);
-  /// After a failed attempt: sends again, or ends the request.
+  /// After a failed attempt: retries or resumes the request, or ends it.
   void retry_or_fail(RequestNumber number, RequestSession& session, TimePoint now,
                      ForwarderActions& actions);
   void give_up(RequestNumber number, RequestSession& session, RefusalReason reason, TimePoint now,
@@ -150,19 +152,19 @@
              ForwarderActions& actions);
   void finish(RequestNumber number, RequestSession& session, TimePoint now,
               ForwarderActions& actions);
-  /// Ends what has waited or run for too long; looks after the attempt of what goes on.
+  /// Ends a request that has waited or run for too long; otherwise checks its current attempt.
   void enforce_deadline(RequestNumber number, RequestSession& session, TimePoint now,
                         ForwarderActions& actions);
-  /// Why a request that waited found no room.
+  /// Why a request was not sent before its wait ended.
   RefusalReason refusal_reason_after_wait(const RequestSession& session, TimePoint now) const;
   void end_at_deadline(RequestNumber number, RequestSession& session, TimePoint now,
                        ForwarderActions& actions);
   void cancel_late_attempt(RequestNumber number, RequestSession& session, TimePoint now,
                            ForwarderActions& actions);
-  /// Sends a request elsewhere whose back end is silent, if another one may run it.
+  /// Moves a request from a stalled back end to another one, if one may run it.
   void replace_attempt(RequestNumber number, RequestSession& session, TimePoint now,
                        ForwarderActions& actions);
-  /// Ends an attempt of a request that came into quarantine before it had begun there.
+  /// Cancels an attempt whose request was quarantined before its first token.
   void cancel_quarantined_attempt(RequestNumber number, RequestSession& session, TimePoint now,
                                   ForwarderActions& actions);
   void check_attempt(RequestNumber number, RequestSession& session, TimePoint now,
--- a/src/gateway/requests/request_forwarder_time.cpp
+++ b/src/gateway/requests/request_forwarder_time.cpp
@@ -1,10 +1,11 @@
-// What becomes of requests as time passes: deadlines, attempts that are silent, late or unwanted.
+// Timer-driven part of RequestForwarder: deadlines, and attempts that are stalled, late or
+// quarantined.
 #include "gateway/requests/request_forwarder.h"
 
 namespace pumicemast {
 namespace {
 
-/// The answer at a deadline leaves a moment early, so that the caller still gets it.
+/// The final response is sent this long before the deadline, so that it reaches the caller in time.
 constexpr Duration kDeadlineMargin = milliseconds(20);
 
 }  // namespace
--- a/src/gateway/requests/request_planner.cpp
+++ b/src/gateway/requests/request_planner.cpp
@@ -5,15 +5,17 @@
 namespace pumicemast {
 namespace {
 
+/// Time left of a caller that states none.
 constexpr Duration kDefaultTimeLeft = seconds(30);
-/// Who has waited for such a share of the goal elsewhere can hardly be answered within it.
+/// A caller that has already waited for this fraction of the latency goal, at this or other
+/// gateways, can hardly be answered within the goal.
 constexpr double kReturningFraction = 0.5;
 
 Duration scaled(Duration duration, double fraction) {
   return Duration(static_cast<Duration::rep>(static_cast<double>(duration.count()) * fraction));
 }
 
-/// Callers of a service that may wait equally long.
+/// Key of the callers of a service whose requests have the same route timeout.
 std::string caller_group(const RequestSession& session) {
   return session.service->name + "/" + std::to_string(to_milliseconds(session.route->timeout));
 }
@@ -28,7 +30,7 @@
 void RequestPlanner::estimate_first_arrival(RequestSession& session) {
   session.first_arrival = session.arrived;
   const Duration stated = session.request.time_left;
-  // Without a service the request goes nowhere: its caller lacks a key, for example.
+  // Without a service the request is not forwarded, for example because its API key is missing.
   if (session.service == nullptr || stated <= Duration::zero()) return;
   const std::string group = caller_group(session);
   const Duration waited = retry_estimator_.already_waited(group, stated);
@@ -60,7 +62,7 @@
 
 double RequestPlanner::admission_limit_ms(const RequestSession& session, TimePoint now) const {
   const double goal_ms = to_fractional_milliseconds(session.route->goal);
-  // What has begun is worth finishing, also late.
+  // A request that was already sent is worth finishing even after the goal.
   if (session.sends > 0) return to_fractional_milliseconds(session.deadline - now);
   const TimePoint since = session.returning ? session.arrived : session.first_arrival;
   return goal_ms * options_.admission_fraction - to_fractional_milliseconds(now - since);
--- a/src/gateway/requests/request_planner.h
+++ b/src/gateway/requests/request_planner.h
@@ -1,4 +1,4 @@
-/// What a request needs, how long it may wait, and when its caller is to come back.
+/// Computes what a request needs, how long it may wait, and when a refused caller should retry.
 ///
 /// A decision core: no I/O.
 #pragma once
@@ -17,15 +17,14 @@
  public:
   RequestPlanner(const WeightTargets& targets, const ForwarderOptions& options);
 
-  /// When its caller asked first, until when the request may wait, and until when it must be
-  /// answered.
+  /// Sets the estimated first arrival, the end of the wait for capacity, and the deadline.
   void plan_times(RequestSession& session);
   BackendNeed backend_requirements(const RequestSession& session, TimePoint now) const;
-  /// The longest predicted time to the first token with which the request is worth sending.
+  /// Longest predicted time to the first token at which the request is still sent.
   double admission_limit_ms(const RequestSession& session, TimePoint now) const;
-  /// When a caller that is turned away is to come back; zero when it is not worth it.
+  /// Random Retry-After time for a refused caller; zero when too little time is left for a retry.
   Duration random_retry_after(const RequestSession& session, TimePoint now);
-  /// Its caller is told to come back after so long.
+  /// Records the Retry-After time sent to the caller, to recognize the request when it returns.
   void record_retry_after(const RequestSession& session, Duration retry_after, TimePoint now);
 
  private:
--- a/src/gateway/requests/request_session.h
+++ b/src/gateway/requests/request_session.h
@@ -1,4 +1,4 @@
-/// One request in progress at a gateway, and what is told of it at its end.
+/// State of one request in progress at a gateway, and its summary.
 #pragma once
 
 #include <cstdint>
@@ -13,52 +13,55 @@
 
 namespace pumicemast {
 
-/// What became of one request, for logs and histograms.
+/// Outcome of one request, for logs and histograms.
 struct RequestSummary {
   std::string id;
   std::string route;
   std::string tenant;
   std::string service;
   RequestKind kind = RequestKind::repeatable;
-  RequestFingerprint fingerprint;  ///< The same for all repeats of it.
+  RequestFingerprint fingerprint;  ///< Equal for all requests with the same content and tenant.
   std::string outcome;             ///< finished, refused, aborted or gone.
   std::string reason;
-  std::string backends;  ///< Those tried, in order.
+  std::string backends;  ///< Back ends tried, in order.
   int status = 0;
   std::uint32_t sends = 0;
   std::uint64_t configuration = 0;
   std::uint64_t weight_version = 0;
-  /// How long ago the newest weights were named when it was last sent, as far as was known here.
+  /// Time from the naming of the newest known weight version as target to the last send.
   Duration naming_age = Duration::zero();
-  std::uint32_t taken_back = 0;  ///< Attempts that would have begun on forbidden weights.
-  bool begun_late = false;       ///< It began on weights that no request may begin on any more.
+  std::uint32_t taken_back = 0;  ///< Attempts cancelled because they would have started too late.
+  bool begun_late = false;       ///< Started after the start bound of its weights.
   double expected_ms = 0;
-  Duration waited = Duration::zero();       ///< Before it was first sent.
-  Duration first_event = Duration::zero();  ///< From arrival; zero when there was none.
-  Duration longest_gap = Duration::zero();  ///< Between two arrivals of a stream's events.
+  Duration waited = Duration::zero();  ///< From arrival to the first send.
+  /// From arrival to the first events or the complete plain response; zero when none.
+  Duration first_event = Duration::zero();
+  /// Longest time between two deliveries of stream events.
+  Duration longest_gap = Duration::zero();
   Duration total = Duration::zero();
   bool in_time = false;
 };
 
-/// What the forwarder knows of a request.
+/// The forwarder's state of a request.
 struct RequestSession {
   RequestMetadata request;
   RouteTablePointer routes;  ///< Keeps `route` alive.
   const RouteRule* route = nullptr;
   const ServiceProfile* service = nullptr;
   std::string tenant;
-  RequestFingerprint fingerprint;  ///< Of what is asked for, by this tenant.
+  RequestFingerprint fingerprint;  ///< Of the content and the tenant.
   int priority = 0;
   TimePoint arrived{};
-  /// When its caller asked first: earlier than `arrived` for one that was refused and came back.
+  /// Estimated arrival of the caller's first attempt; earlier than `arrived` for a returning
+  /// caller.
   TimePoint first_arrival{};
-  /// Its caller was refused before; an answer would hardly be in time any more.
+  /// Its caller was probably refused before, so long ago that a response can hardly be in time.
   bool returning = false;
   TimePoint deadline{};
   TimePoint wait_until{};
   bool waiting = false;
-  // The attempt in progress.
-  std::string backend;  ///< Empty when there is none.
+  // Current attempt.
+  std::string backend;  ///< Empty when there is no attempt.
   BackendLife backend_incarnation;
   Address backend_address;
   TimePoint sent_at{};
@@ -66,7 +69,7 @@
   bool connected = false;
   bool head_received = false;
   bool first_token_seen = false;
-  bool streaming = false;  ///< The answer in progress is an event stream.
+  bool streaming = false;  ///< The response of the attempt is an event stream.
   ResponseMetadata response;
   std::string buffered;
   EventSplitter splitter;
@@ -74,17 +77,16 @@
   std::set<std::string> tried_backends;
   std::uint32_t sends = 0;
   std::uint32_t connect_failures = 0;
-  std::uint32_t taken_back = 0;  ///< Attempts that would have begun on forbidden weights.
+  std::uint32_t taken_back = 0;  ///< Attempts cancelled because they would have started too late.
   bool may_have_run = false;
   bool response_started = false;
-  bool stream_started = false;  ///< The answer begun is an event stream.
-  bool begun_late = false;      ///< It began on weights that no request may begin on any more.
+  bool stream_started = false;  ///< The response being relayed is an event stream.
+  bool begun_late = false;      ///< Started after the start bound of its weights.
   std::uint64_t response_version = 0;
   std::uint64_t last_version = 0;
-  Duration naming_age = Duration::zero();  ///< Of the newest weights, at the last sending.
-  /// Whether another run does no harm.
+  Duration naming_age = Duration::zero();  ///< Of the newest weights, at the last send.
+  /// Whether the request may run more than once.
   bool repeatable() const;
-  /// What became of it.
   RequestSummary summarize(const char* outcome, const char* reason, int status,
                            TimePoint now) const;
 
--- a/src/gateway/requests/response_relay.cpp
+++ b/src/gateway/requests/response_relay.cpp
@@ -23,7 +23,7 @@
     return;
   }
   session.last_progress = now;
-  // The answer to a resumption that is no stream is no part of the one that was begun.
+  // A stream was started: a plain response to its resumption is not part of it.
   if (session.stream_started) return;
   if (session.response_started) {
     actions.emplace_back(RelayBody{number, std::string(bytes)});
--- a/src/gateway/requests/response_relay.h
+++ b/src/gateway/requests/response_relay.h
@@ -1,7 +1,8 @@
-/// Passes what a back end answers on to the caller.
+/// Relays a back end's response to the caller.
 ///
-/// A decision core: no I/O. A plain answer goes out only when it is whole, up to a size; a stream
-/// by whole events where it may be resumed, so that another run can go on after the last one.
+/// A decision core: no I/O. A plain response is buffered until it is complete, up to
+/// `max_buffered_response_bytes`. A stream on a resumable route is relayed in complete events, so
+/// that another attempt can continue after the last one.
 #pragma once
 
 #include <string_view>
@@ -18,10 +19,10 @@
   ResponseRelay(BackendPool& pool, const ForwarderOptions& options)
       : pool_(pool), options_(options) {}
 
-  /// Bytes of the body of the session's attempt in progress.
+  /// Handles body bytes received by the session's current attempt.
   void on_body(RequestNumber number, RequestSession& session, std::string_view bytes, TimePoint now,
                ForwarderActions& actions);
-  /// The answer is complete: what was held back goes out, and its end.
+  /// The response is complete: relays whatever is still buffered and ends the response.
   void finish(RequestNumber number, RequestSession& session, TimePoint now,
               ForwarderActions& actions);
 
--- a/src/gateway/requests/retry_budgets.h
+++ b/src/gateway/requests/retry_budgets.h
@@ -1,4 +1,4 @@
-/// One retry budget a service, with the same bounds.
+/// One retry budget per service, all with the same bounds.
 #pragma once
 
 #include <algorithm>
@@ -13,7 +13,7 @@
 class RetryBudgets {
  public:
   /// @param ratio    retries that each first attempt earns.
-  /// @param reserve  retries a service may save up; it has them from the start.
+  /// @param reserve  retries that a service may save up; budgets start with the full reserve.
   RetryBudgets(double ratio, double reserve) : ratio_(ratio), allowance_{reserve, 0, true} {}
 
   RetryBudget& for_service(const std::string& service) {
@@ -23,8 +23,8 @@
     return by_service_.try_emplace(service, ratio_, allowance_.reserve, allowance_.advance)
         .first->second;
   }
-  /// When services may be full for the first time, they are granted what they could not save up
-  /// until then: what they could, they may have spent in the same window.
+  /// When the reserve becomes granted, existing budgets get only the increase of the reserve, not
+  /// the whole of it: they may have spent what they could save up before in the same window.
   void set_allowance(const RetryAllowance& allowance) {
     const bool becomes_granted = allowance.reserve_granted && !allowance_.reserve_granted;
     const double granted =
--- a/src/gateway/requests/retry_share.cpp
+++ b/src/gateway/requests/retry_share.cpp
@@ -5,16 +5,17 @@
 namespace pumicemast {
 namespace {
 
-/// For longer than regions usually lose each other.
+/// Longer than network partitions between regions usually last.
 constexpr Duration kGatewayCountRetention = seconds(600);
-/// Of a gateway that has just started, or knows of no other. Enough for a failure now and then;
-/// 100 gateways that know nothing of each other hold fewer than the 232 retries that 40 may.
+/// Reserve of a gateway that has just started or has no gateway count. It covers occasional
+/// failures. 100 gateways without a count hold 200 retries in total, fewer than the 232 that a
+/// fleet of 40 may save up.
 constexpr double kMinimumReserve = 2;
-/// Retries a service has at the start: the first stream that breaks can go on. Of the share, this
-/// is kept for the process that may come after this one.
+/// Retries that a budget starts with, so that the first broken stream can be resumed. This part of
+/// the share is held back from the reserve, for a process that may replace this one.
 constexpr double kAdvance = 1;
-/// What the process before this one sent may arrive so late; links under load hold packets up for
-/// half a second.
+/// Latest arrival of requests that the previous process of this gateway sent. Links under load can
+/// delay packets by half a second.
 constexpr Duration kMaximumNetworkDelay = seconds(1);
 
 }  // namespace
@@ -34,7 +35,8 @@
 }
 
 std::uint64_t RetryShare::gateways(TimePoint now) {
-  // Behind a cut agents know the gateways on their own side only; the settings know all zones.
+  // During a network partition agents know only the gateways on their own side, but the settings
+  // contain the number of all zones.
   return std::max(reported_gateways(now), largest_zone_gateway_count_.value(now) * options_.zones);
 }
 
@@ -42,7 +44,7 @@
   const std::uint64_t known = gateways(now);
   const std::uint64_t sharing_gateways = std::max(options_.min_gateways, known);
   const double share = options_.extra / static_cast<double>(sharing_gateways);
-  // The process before this one may have spent its share a moment ago.
+  // The previous process of this gateway may have spent its share just before this one started.
   const bool reserve_granted = now - started_ >= options_.window + kMaximumNetworkDelay;
   RetryAllowance allowance;
   allowance.reserve = std::min(share, kMinimumReserve);
--- a/src/gateway/requests/route_table.h
+++ b/src/gateway/requests/route_table.h
@@ -1,4 +1,4 @@
-/// Finds the route and the tenant of a request in one version of the configuration.
+/// Looks up the route and the tenant of a request in one version of the configuration.
 ///
 /// A decision core: no I/O.
 #pragma once
@@ -21,18 +21,18 @@
   std::uint64_t version() const { return configuration_.version; }
   const FleetConfiguration& configuration() const { return configuration_; }
 
-  /// The route of `host` with the longest prefix that begins `target`, or null. A port in
-  /// `host` and a query in `target` do not count.
+  /// The route of `host` with the longest path prefix that matches `target`, or null. Ignores a
+  /// port in `host` and the query in `target`.
   const RouteRule* match(std::string_view host, std::string_view target) const;
-  /// Whether requests need a key at all.
+  /// Whether the configuration has tenants, so that requests need an API key.
   bool has_tenants() const { return !configuration_.tenants.empty(); }
-  /// The tenant that holds `key`, or null.
+  /// The tenant with the API key `key`, or null.
   const TenantRule* tenant_for_key(std::string_view key) const;
   const ServiceProfile* service(const std::string& name) const;
 
  private:
   FleetConfiguration configuration_;
-  /// Routes of a host, longest prefix first; indices into the configuration.
+  /// Indices into the configured routes by host, longest path prefix first.
   std::unordered_map<std::string, std::vector<std::size_t>> routes_by_host_;
   std::unordered_map<std::string, std::size_t> tenants_by_key_;
   std::unordered_map<std::string, std::size_t> services_by_name_;
--- a/tests/gateway/gateway_cores_test.cpp
+++ b/tests/gateway/gateway_cores_test.cpp
@@ -8,7 +8,7 @@
 
 namespace pumicemast {
 
-/// The small cores of the gateway.
+/// Small decision cores of the gateway.
 class GatewayCoresTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GatewayCoresTest);
   CPPUNIT_TEST(longest_prefix_of_the_host_wins);
@@ -91,7 +91,8 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, targets.lowest_allowed("m", now + seconds(11)));
   }
 
-  // A gateway that could not read the store while version 2 was the newest hears of it from others.
+  // A gateway that could not read the store while version 2 was the newest learns of it from other
+  // gateways.
   void older_version_learned_late_still_takes_effect() {
     WeightTargets targets(seconds(7));
     const TimePoint now(seconds(100));
@@ -111,7 +112,7 @@
     targets.on_named("m", 4, now - seconds(3));
     targets.on_named("m", 5, now - seconds(1), true);
     const std::vector<NamedWeights> namings = targets.known_namings(now);
-    // Version 3 binds already, so that 2 no longer matters; when 5 was named is not known.
+    // Version 3 is already the lowest allowed, so 2 is irrelevant; the naming time of 5 is assumed.
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, namings.size());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, namings[2].version);
     CPPUNIT_ASSERT(!namings[0].assumed && !namings[1].assumed && namings[2].assumed);
@@ -121,14 +122,15 @@
     CPPUNIT_ASSERT_EQUAL(std::string("m"), namings[1].model);
   }
 
-  // Requests began on old weights beyond their time: the first answer after a lost watch told of a
-  // version that had been named during the loss, and it was taken as new.
+  // Requests started on old weights for too long: the first response of the store after a lost
+  // watch contained a version that had been named during the loss, and the version was treated as
+  // named just then.
   void version_discovered_late_uses_the_earliest_possible_naming_time() {
     WeightTargets targets(seconds(7));
     const TimePoint now(seconds(100));
     CPPUNIT_ASSERT(targets.assumed_naming(Duration::zero(), now) == now);
     CPPUNIT_ASSERT(targets.assumed_naming(milliseconds(3300), now) == now - milliseconds(3300));
-    // Back ends have 3 s to change over, however long ago the version may have been named.
+    // Back ends get 3 s to change over, however long ago the version may have been named.
     CPPUNIT_ASSERT(targets.assumed_naming(seconds(60), now) == now - seconds(4));
     CPPUNIT_ASSERT(targets.assumed_naming(Duration::max(), now) == now - seconds(4));
     targets.set_changeover(seconds(2));
@@ -140,7 +142,7 @@
     const TimePoint now(seconds(100));
     CPPUNIT_ASSERT(targets.on_named("m", 2, now - seconds(4), true));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, targets.lowest_allowed("m", now + seconds(3)));
-    CPPUNIT_ASSERT(!targets.on_named("m", 2, now - seconds(1)));  // Another gateway saw it.
+    CPPUNIT_ASSERT(!targets.on_named("m", 2, now - seconds(1)));  // Seen by another gateway.
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, targets.lowest_allowed("m", now + seconds(3)));
     CPPUNIT_ASSERT(!targets.on_named("m", 2, now, true));
     CPPUNIT_ASSERT(targets.age("m", now) == seconds(1));
@@ -152,7 +154,7 @@
     int admitted = 0;
     for (int line = 0; line < 10; ++line) admitted += budget.admit("a", now) ? 1 : 0;
     CPPUNIT_ASSERT_EQUAL(3, admitted);
-    CPPUNIT_ASSERT(budget.admit("b", now));  // Each kind has its own.
+    CPPUNIT_ASSERT(budget.admit("b", now));  // Each kind has its own limit.
     const auto suppressed = budget.take_suppressed();
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, suppressed.size());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, suppressed[0].second);
--- a/tests/gateway/gateway_settings_test.cpp
+++ b/tests/gateway/gateway_settings_test.cpp
@@ -36,7 +36,7 @@
   }
 
  public:
-  // As the platform fills in a list: a separator stands after the last name too.
+  // The platform's templates put a separator after the last name too.
   void counts_listed_zones() {
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{3}, read("zones=a;b;c;\n").zones);
   }
--- a/tests/gateway/requests/crash_containment_test.cpp
+++ b/tests/gateway/requests/crash_containment_test.cpp
@@ -1,12 +1,13 @@
-/// The story of the failure. Callers saw a third of their requests refused for a quarter of a
-/// minute, three times in a day. Engines ended one after the other, 37 to 55 in a row, each some
-/// 0.05 s after it had begun one request of one tenant; each was back 2.5 s later. That request
-/// came again after each failure, at any gateway, with another id. Each try kept its own bounds
-/// (two engines), the retry budget was never exceeded, and the agents lived on.
+/// Guards against a request that crashes every engine on which it runs. Three times in a day a
+/// third of all requests was refused for 15 s: 37 to 55 engines crashed one after the other, each
+/// about 0.05 s after it had started one request of one tenant, and each was back 2.5 s later. The
+/// caller sent the request again after each failure, to any gateway and with another id. Each try
+/// stayed within its limit of two engines, the retry budget was never exceeded, and the agents kept
+/// running.
 ///
-/// Evidence: with its content as a name, one line each of the ended engines' requests has one
-/// fingerprint in common, in all of them; no other request is in more than a few. Cause: what a
-/// request has done to engines was forgotten with each try, and no gateway told another.
+/// Only this request, identified by the fingerprint of its content, was running on every engine
+/// that crashed; no other was running on more than a few. The cause: gateways discarded the
+/// evidence after each try and did not share it.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -23,8 +24,8 @@
 
 namespace {
 
-/// The third end under one request is what convicts it. Tries that are under way at that moment at
-/// other gateways may end one engine more each.
+/// A request is quarantined after the third crash under it. Each of its tries that is in progress
+/// at another gateway at that moment may crash one more engine.
 constexpr int kCrashesToQuarantine = 3;
 
 }  // namespace
@@ -55,8 +56,8 @@
   }
 
   void concurrent_crashing_requests_crash_few_more_engines() {
-    // Four such requests, each from three callers at a time: twelve tries are under way before the
-    // first engine has ended. Those that had begun by the time of the verdict end engines too.
+    // Four such requests, each from three callers at a time: twelve tries are in progress before
+    // the first engine crashes. Tries that have started before the verdict crash engines too.
     int engine_crashes = 0;
     int late_crashes = 0;
     int wrongly_quarantined = 0;
@@ -82,14 +83,15 @@
                 crashes_per_request, late_crashes, wrongly_quarantined, asked, broken_off);
     CPPUNIT_ASSERT(crashes_per_request < 5);
     CPPUNIT_ASSERT_EQUAL(0, late_crashes);
-    // With one end to convict 966 of 20,164 tries were refused, with two 465 of 20,734, with three
-    // 4 of 22,011: these had each been under three engines' ends.
+    // Ordinary tries refused with a threshold of one crash: 966 of 20,164; of two: 465 of 20,734;
+    // of three: 4 of 22,011, each of which had been running during three crashes.
     CPPUNIT_ASSERT(wrongly_quarantined * 1000 < asked);
   }
 
   void simultaneous_engine_failures_quarantine_nothing() {
-    // A third of all engines end at once, agents live on, zone after zone, for half a minute. While
-    // ends in a crowd counted like others, 1,619 of 34,800 tries were refused.
+    // All engines of a zone, a third of the fleet, crash at once while their agents keep running,
+    // zone after zone for 30 s. When crashes in a burst counted like single ones, 1,619 of 34,800
+    // tries were refused.
     int wrongly_quarantined = 0;
     int asked = 0;
     for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) {
@@ -107,9 +109,9 @@
     CPPUNIT_ASSERT_EQUAL(0, wrongly_quarantined);
   }
 
-  // Callers that poll send the same request all the time: it is under way at nearly every engine,
-  // and so under nearly every end. A first form of the quarantine refused it for an hour after all
-  // three engines of a small fleet had ended within a second.
+  // Polling callers send the same request all the time, so it is running on nearly every engine
+  // that crashes. An early version of the quarantine refused it for an hour after all three engines
+  // of a small fleet had crashed within a second.
   void popular_request_is_served_while_others_crash_engines() {
     for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) {
       CrashWorldOptions options;
@@ -132,15 +134,15 @@
       CPPUNIT_ASSERT_EQUAL(0, world.ordinary().quarantined);
       std::printf("figure poll seed=%u served_before=%d served_after=%d\n", seed, served_before,
                   world.ordinary().served - served_before);
-      // The last third, after all such requests are in quarantine.
+      // The last third of the requests, sent after all crashing requests are in quarantine.
       CPPUNIT_ASSERT(world.ordinary().served - served_before > 190);
     }
   }
 
-  // Callers of an ordinary request were refused to the end of the play: all gateways were started
-  // anew, and a moment later all three engines ended together. The request ran on each of them, so
-  // that each end of the crowd counted beside another one; that such requests end well had been
-  // known to the gateways' former processes only.
+  // An ordinary request was refused to the end of a simulation: all gateways were restarted, and a
+  // moment later all three engines crashed together. The request was running on each of them, so
+  // each crash of the burst counted, supported by another one. Only the gateways' previous
+  // processes had known that the request usually completes.
   void engines_failing_together_after_gateway_restarts_quarantine_nothing() {
     for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) {
       CrashWorldOptions options;
@@ -166,8 +168,11 @@
     }
   }
 
-  /// Gateways start, engines are back a while later, and end together once more.
-  /// @param restarted_gateways  so many of three begin anew; the others know what ends well.
+  /// All engines crash, gateways restart, the engines come back and crash together again.
+  /// @param restarted_gateways  how many of the three gateways restart; the others keep their
+  /// record
+  ///                            of completed requests.
+  /// @param engine_uptime       from the engines' return to their second crash.
   static void check_failure_after_restart(std::uint32_t seed, std::size_t restarted_gateways,
                                           Duration engine_uptime) {
     CrashWorldOptions options;
@@ -198,8 +203,8 @@
     CPPUNIT_ASSERT_EQUAL_MESSAGE(what, 0, world.ordinary().quarantined);
   }
 
-  // A gateway learns what ends well from answers, not from time: engines that are back seconds
-  // after the gateways have answered nobody until then.
+  // A gateway learns from completed responses, not from the passing of time, which requests
+  // complete. Engines that come back seconds after the gateways have completed nothing until then.
   void engines_failing_soon_after_recovery_quarantine_nothing() {
     for (std::uint32_t seed = 1; seed <= 3; ++seed) {
       for (const std::size_t restarted_gateways : {1U, 2U, 3U}) {
@@ -266,7 +271,7 @@
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{4096}, quarantine.list(now).size());
     CPPUNIT_ASSERT(quarantine.quarantined({10000, 10000}, now));
-    // 100 s at 64 entries a second, and what may be told at once.
+    // 100 s at 64 entries per second, plus the burst allowance.
     CPPUNIT_ASSERT(sent_entries <= 64 * 100 + 200);
     CPPUNIT_ASSERT(quarantine.verdicts(now).crashes.size() <= 256 * 6);
   }
@@ -274,10 +279,11 @@
  private:
   static constexpr std::uint32_t kSeeds = 10;
   const std::vector<std::string> kCrashingBodies{"killer a", "killer b", "killer c", "killer d"};
-  /// Until all gateways know of the third end: the agent's next report, and one step between two.
+  /// Until all gateways know of the third crash: the agent's next report, and one
+  /// simulation step for the message between two gateways.
   static constexpr Duration kVerdictPropagation = milliseconds(150);
 
-  /// Engines that were ended after all gateways could know better.
+  /// Engines that crashed after all gateways could know of the verdict.
   static int crashes_after_verdict(CrashWorld& world, const std::string& body) {
     const std::vector<TimePoint>& engine_crashes = world.ends_by(body);
     if (engine_crashes.size() <= kCrashesToQuarantine) return 0;
--- a/tests/gateway/requests/forwarder_admission_test.cpp
+++ b/tests/gateway/requests/forwarder_admission_test.cpp
@@ -6,7 +6,7 @@
 
 namespace pumicemast {
 
-/// Which requests the forwarder lets in, in which order, and what it tells those it turns away.
+/// Which requests the forwarder admits, in which order, and how it refuses the others.
 class ForwarderAdmissionTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ForwarderAdmissionTest);
   CPPUNIT_TEST(missing_configuration_is_refused_with_503_not_404_or_401);
@@ -69,8 +69,8 @@
     world.report(1, 0, 1, 4);
     world.report(2, 0, 1, 4);
     world.ask("/chat/1");
-    CPPUNIT_ASSERT(world.actions.empty());  // It waits a moment for room.
-    world.tick(milliseconds(100));          // A quarter of its goal.
+    CPPUNIT_ASSERT(world.actions.empty());  // It waits for capacity.
+    world.tick(milliseconds(100));          // A quarter of the latency goal.
     CPPUNIT_ASSERT_EQUAL(503, world.refused_with());
     CPPUNIT_ASSERT(world.first<SendRefusal>()->retry_after > Duration::zero());
     CPPUNIT_ASSERT(world.first<SendRefusal>()->retry_after <= seconds(2));
@@ -114,7 +114,7 @@
     world.ask("/chat/1");
     world.tick(milliseconds(61));
     CPPUNIT_ASSERT_EQUAL(503, world.refused_with());
-    world.report(1, 1, 1);  // Room for one: the next first attempt may need it.
+    world.report(1, 1, 1);  // Capacity for one request, kept for first attempts.
     const std::uint64_t first_attempts = world.forwarder.counters().engine_first_attempts;
     world.ask("/chat/1", "key-1", milliseconds(4500));
     CPPUNIT_ASSERT_EQUAL(503, world.refused_with());
@@ -137,7 +137,8 @@
 
   void first_attempts_precede_returning_requests() {
     world.add_busy_engine();
-    world.ask("/chat/1", "wrong", milliseconds(4500));  // No service: nothing is learnt from it.
+    world.ask("/chat/1", "wrong",
+              milliseconds(4500));  // Without a service, its stated time is ignored.
     CPPUNIT_ASSERT_EQUAL(401, world.refused_with());
     const RequestNumber returning = world.ask("/chat/1", "key-1", milliseconds(4500));
     world.now += milliseconds(5);
@@ -145,7 +146,7 @@
     world.report(1, 1, 1);
     world.tick(milliseconds(5));
     CPPUNIT_ASSERT_EQUAL(first, world.first<SendToBackend>()->request);
-    world.report(1, 2, 1);  // The first one may not have reached it yet.
+    world.report(1, 2, 1);  // The report may not include the first request yet.
     world.tick(milliseconds(5));
     CPPUNIT_ASSERT_EQUAL(returning, world.first<SendToBackend>()->request);
   }
--- a/tests/gateway/requests/request_authorizer_test.cpp
+++ b/tests/gateway/requests/request_authorizer_test.cpp
@@ -25,7 +25,7 @@
   AuthorizationResult authorize() {
     const RouteTable routes(configuration);
     AuthorizationResult result = authorizer.authorize(&routes, request);
-    // The table ends here: only names are compared afterwards.
+    // Keeps copies of the names: the pointers in the result are invalid once the table is gone.
     route_name = result.route == nullptr ? "" : result.route->name;
     service_name = result.service == nullptr ? "" : result.service->name;
     return result;
--- a/tests/gateway/requests/request_forwarder_test.cpp
+++ b/tests/gateway/requests/request_forwarder_test.cpp
@@ -77,7 +77,7 @@
   void status_alone_does_not_prove_not_run() {
     world.configure();
     world.add_backend("p1", "plain", 1);
-    // 503 and 429 promise that a request did not run; its back end did not say so.
+    // These statuses imply that the request did not run, but the back end did not say so.
     for (const int status : {503, 429, 408}) {
       const RequestNumber request = world.ask("/write/1");
       world.head(request, status);
@@ -114,14 +114,14 @@
     world.head(request, 500);
     world.body(request, "sorry");
     world.complete(request);
-    // No attempt is left: the back end's own failure is passed on, unchanged.
+    // No attempt is left: the back end's error response is relayed unchanged.
     CPPUNIT_ASSERT(world.first<BeginResponse>() != nullptr);
     CPPUNIT_ASSERT_EQUAL(std::string("sorry"), world.first<RelayBody>()->bytes);
   }
 
   void error_response_is_relayed_when_no_retry_is_possible() {
     world.configure();
-    world.add_backend("p1", "plain", 1);  // The only one.
+    world.add_backend("p1", "plain", 1);  // The only back end.
     const RequestNumber request = world.ask("/read/1");
     world.head(request, 500);
     world.body(request, "sorry");
@@ -171,7 +171,8 @@
     CPPUNIT_ASSERT_EQUAL(std::string("2"), resumed->resume_after);
     world.head(request, 200, false, true);
     world.body(request, "id: 3\ndata: c\n\n");
-    CPPUNIT_ASSERT(world.first<BeginResponse>() == nullptr);  // The first run's head stands.
+    CPPUNIT_ASSERT(world.first<BeginResponse>() ==
+                   nullptr);  // The first attempt's head was sent already.
     CPPUNIT_ASSERT_EQUAL(std::string("id: 3\ndata: c\n\n"), world.first<RelayBody>()->bytes);
     world.complete(request);
     CPPUNIT_ASSERT(world.first<EndResponse>() != nullptr);
@@ -185,7 +186,7 @@
     world.fail(request, AttemptFailure::connection_lost);
     world.head(request, 200, false, true);
     world.body(request, "id: 3\ndata: c\n\n");
-    world.fail(request, AttemptFailure::connection_lost);  // The second of two attempts.
+    world.fail(request, AttemptFailure::connection_lost);  // The last of two attempts.
     CPPUNIT_ASSERT(world.first<AbortResponse>() != nullptr);
     CPPUNIT_ASSERT(world.first<EndResponse>() == nullptr);
   }
@@ -252,7 +253,7 @@
     const std::string first = world.sent_to();
     world.head(request, 200, false, true);
     world.body(request, kFirstEvents);
-    world.now += seconds(1);  // No report of either engine for that long.
+    world.now += seconds(1);  // Neither engine's report is recent any more.
     world.report(first == "e1" ? 2 : 1, 4, 1);
     world.tick(milliseconds(1));
     CPPUNIT_ASSERT(world.first<CancelAttempt>() != nullptr);
@@ -279,7 +280,7 @@
     CPPUNIT_ASSERT(retries <= 40 * options.retry_ratio + options.retry_reserve);
   }
 
-  /// A request that goes to e1 on version 1, 1.1 s before requests there may no longer begin.
+  /// Sends a request to e1 on version 1, 1.1 s before requests may no longer start on it.
   RequestNumber send_late_in_changeover() {
     world.add_engines();
     world.targets.set_start_bound(seconds(8));
@@ -291,8 +292,8 @@
     return world.ask("/chat/1");
   }
 
-  // The back end is slow, or the way to it: the request would begin on weights that may no longer
-  // start any.
+  // The back end or the path to it is slow, so the request would start on weights on which requests
+  // may no longer start.
   void unstarted_attempt_on_old_weights_is_cancelled_at_start_bound() {
     const RequestNumber request = send_late_in_changeover();
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), world.sent_to());
@@ -310,7 +311,7 @@
 
   void late_start_on_old_weights_is_reported() {
     const RequestNumber request = send_late_in_changeover();
-    world.now += seconds(2);  // No tick came between that could have taken it back.
+    world.now += seconds(2);  // Without a tick that could have cancelled it.
     world.head(request, 200, false, true);
     world.body(request, "id: 1\ndata: a\n\n");
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, world.forwarder.counters().begun_late);
--- a/tests/gateway/requests/retry_share_test.cpp
+++ b/tests/gateway/requests/retry_share_test.cpp
@@ -6,11 +6,11 @@
 
 namespace pumicemast {
 
-// Users saw a service that could hardly keep up receive more repeats than its first attempts
-// allow, on a fleet of about 40 gateways. Order of events: back ends fail, many gateways begin
-// anew or on one side of a cut, and all send again what fails. Cause: each process had a share of
-// the fleet's reserve without having earned it, and divided the reserve by the gateways that it
-// knew, however few.
+// Guards against more retries than a service's first attempts allow. On a fleet of about 40
+// gateways an overloaded service received too many: back ends failed, many gateways restarted or
+// started on one side of a network partition, and all retried the failures. The cause: each process
+// started with an unearned share of the fleet's reserve, and computed that share from the gateways
+// that it knew, however few.
 class RetryShareTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RetryShareTest);
   CPPUNIT_TEST(restarting_all_gateways_grants_no_new_reserve);
@@ -48,7 +48,7 @@
     return spent;
   }
 
-  /// Something that happens to a fleet, drawn by lot.
+  /// Injects one randomly chosen fault, recovery or change of the fleet.
   static void inject_random_fault(tests::RetryFleet& fleet, std::mt19937& random) {
     const auto draw = [&random](int below) { return static_cast<int>(random() % below); };
     switch (draw(8)) {
@@ -176,9 +176,9 @@
     budgets.set_allowance(share.allowance(kStart));
     RetryBudget& budget = budgets.for_service("service");
     CPPUNIT_ASSERT_EQUAL(1, spend_all(budget));  // The advance.
-    // 2 s of a plain service that gets 3 requests a second here.
+    // 2 s of a plain service that gets 3 requests per second at this gateway.
     for (int request = 0; request < 6; ++request) budget.on_first_attempt();
-    CPPUNIT_ASSERT_EQUAL(0, spend_all(budget));  // It is paid back.
+    CPPUNIT_ASSERT_EQUAL(0, spend_all(budget));  // The advance is paid back first.
     for (int request = 0; request < 6; ++request) budget.on_first_attempt();
     CPPUNIT_ASSERT_EQUAL(1, spend_all(budget));
   }
@@ -189,7 +189,7 @@
     RetryBudgets budgets(0.18, 0);
     budgets.set_allowance(share.allowance(kStart + milliseconds(10900)));
     CPPUNIT_ASSERT_EQUAL(1, spend_all(budgets.for_service("service")));
-    // Of 5.8 that it may have, one is kept for the next process, two may be spent already.
+    // Of its share of 5.8, one is held back for the next process and two may already be spent.
     budgets.set_allowance(share.allowance(kStart + seconds(11)));
     CPPUNIT_ASSERT_EQUAL(2, spend_all(budgets.for_service("service")));
     for (int request = 0; request < 100; ++request)
@@ -219,7 +219,8 @@
   void share_shrinks_with_gateway_count_and_ignores_partitions() {
     const TimePoint later = kStart + seconds(60);
     RetryShare share(options(), kStart);
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(2, share.allowance(later).reserve, 1e-9);  // Nothing is known.
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(2, share.allowance(later).reserve,
+                                 1e-9);  // No gateway count is known.
     share.on_gateway_count(3, later);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(232.0 / 12 - 1, share.allowance(later).reserve, 1e-9);
     share.on_largest_zone_gateway_count(14, later);
@@ -230,9 +231,9 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{58}, share.gateways(later + seconds(300)));
   }
 
-  // What the bound costs callers: 7 of 100 attempts fail, as those of a plain service of whose
-  // requests half may be repeated and fail 14 times in 100. Seen: 1667 of 1927 failures repeated
-  // in the 11 s after a start; with budgets that start full all are.
+  // Cost of the bound for callers: 7 of 100 attempts fail and may be retried, as for a plain
+  // service that fails 14 of 100 attempts and of whose requests half are repeatable. In the 11 s
+  // after a start 1667 of 1927 failures were retried; with budgets that start full, all are.
   void restart_suppresses_few_retries_at_low_failure_rates() {
     int failures = 0;
     int repeats = 0;
