--- a/src/gateway/requests/request_planner.h
+++ b/src/gateway/requests/request_planner.h
@@ -1,4 +1,4 @@
-/// What a request needs, how long it may wait, and when its caller is to come back.
+/// Computes what a request needs, how long it may wait, and when a refused caller should retry.
 ///
 /// A decision core: no I/O.
 #pragma once
@@ -17,23 +17,22 @@
  public:
   RequestPlanner(const WeightTargets& targets, const ForwarderOptions& options);
 
-  /// When its caller asked first, until when the request may wait, and until when it must be
-  /// answered.
+  /// Sets the estimated first arrival, the end of the wait for capacity, and the deadline.
   void plan_times(RequestSession& session);
-  BackendRequirements need_of(const RequestSession& session, TimePoint now) const;
-  /// The longest predicted time to the first token with which the request is worth sending.
+  BackendRequirements backend_requirements(const RequestSession& session, TimePoint now) const;
+  /// Longest predicted time to the first token at which the request is still sent.
   double admission_limit_ms(const RequestSession& session, TimePoint now) const;
-  /// When a caller that is turned away is to come back; zero when it is not worth it.
-  Duration draw_retry_after(const RequestSession& session, TimePoint now);
-  /// Its caller is told to come back after so long.
-  void note_told(const RequestSession& session, Duration retry_after, TimePoint now);
+  /// Random Retry-After time for a refused caller; zero when too little time is left for a retry.
+  Duration random_retry_after(const RequestSession& session, TimePoint now);
+  /// Records the Retry-After time sent to the caller, to recognize the request when it returns.
+  void record_retry_after(const RequestSession& session, Duration retry_after, TimePoint now);
 
  private:
-  void note_first_asked(RequestSession& session);
+  void estimate_first_arrival(RequestSession& session);
 
   const WeightTargets& targets_;
   const ForwarderOptions& options_;
-  StatedTimes stated_times_;
+  StatedTimes retry_estimator_;
   std::minstd_rand random_;
 };
 
