--- a/src/fleet/contact_board.h
+++ b/src/fleet/contact_registry.h
@@ -19,34 +19,34 @@
   std::uint64_t revision = 0;  ///< A replacement names the revision that it replaces.
 };
 
-enum class ContactBoardState {
+enum class ContactRegistryState {
   named,
   empty,       ///< No gateway of the zone has entered itself yet.
   unavailable  ///< No answer, or none that can be used; a claim may have been carried out.
 };
 
-inline const char* to_string(ContactBoardState state) {
+inline const char* to_string(ContactRegistryState state) {
   switch (state) {
-    case ContactBoardState::named:
+    case ContactRegistryState::named:
       return "NAMED";
-    case ContactBoardState::empty:
+    case ContactRegistryState::empty:
       return "EMPTY";
-    case ContactBoardState::unavailable:
+    case ContactRegistryState::unavailable:
       return "UNAVAILABLE";
   }
   return "UNAVAILABLE";
 }
 
-struct ContactBoardAnswer {
-  ContactBoardState state = ContactBoardState::unavailable;
+struct ContactRegistryAnswer {
+  ContactRegistryState state = ContactRegistryState::unavailable;
   ContactEntry entry;  ///< Where the state is `named`.
 };
 
-class ContactBoard {
+class ContactRegistry {
  public:
-  using Callback = std::function<void(const ContactBoardAnswer&)>;
+  using Callback = std::function<void(const ContactRegistryAnswer&)>;
 
-  virtual ~ContactBoard() = default;
+  virtual ~ContactRegistry() = default;
   /// Reads the entry of the own zone. One call at a time; the callback is called from the loop.
   virtual void read(Callback callback) = 0;
   /// Enters `self`, if the entry is still that of `replaces`, or there is still none.
--- a/src/fleet/feeds.h
+++ b/src/fleet/feeds.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "fleet/backend_record.h"
-#include "fleet/contact_board.h"
+#include "fleet/contact_registry.h"
 #include "fleet/fleet_configuration.h"
 
 namespace pumicemast {
@@ -46,7 +46,7 @@
   /// @param list_revision  of the list of back ends as others have passed it on; 0 for none.
   virtual void resume(std::uint64_t list_revision) = 0;
   /// Of the zone of this process.
-  virtual ContactBoard& contacts() = 0;
+  virtual ContactRegistry& contacts() = 0;
   /// Reads a document that another process passed on; empty when it is not valid.
   virtual std::optional<FleetConfiguration> read_document(const std::string& document) = 0;
 };
--- a/src/gateway/peers/contact_search.cpp
+++ b/src/gateway/peers/contact_search.cpp
@@ -33,9 +33,9 @@
   return action;
 }
 
-void ContactSearch::on_answer(const ContactBoardAnswer& answer, TimePoint now) {
+void ContactSearch::on_answer(const ContactRegistryAnswer& answer, TimePoint now) {
   call_open_ = false;
-  if (answer.state == ContactBoardState::unavailable) {
+  if (answer.state == ContactRegistryState::unavailable) {
     // A claim without an answer may have been carried out: the board is read again.
     board_empty_ = false;
     contact_.reset();
@@ -44,7 +44,7 @@
     return;
   }
   unavailable_since_.reset();
-  board_empty_ = answer.state == ContactBoardState::empty;
+  board_empty_ = answer.state == ContactRegistryState::empty;
   contact_.reset();
   if (board_empty_) return;
   is_contact_ = answer.entry.gateway == self_;
--- a/src/gateway/peers/contact_search.h
+++ b/src/gateway/peers/contact_search.h
@@ -11,7 +11,7 @@
 #include <variant>
 
 #include "common/time.h"
-#include "fleet/contact_board.h"
+#include "fleet/contact_registry.h"
 
 namespace pumicemast {
 
@@ -38,7 +38,7 @@
 
   /// The call to make at the board now, if any; on_answer() is owed for each.
   std::optional<ContactAction> next_action(TimePoint now);
-  void on_answer(const ContactBoardAnswer& answer, TimePoint now);
+  void on_answer(const ContactRegistryAnswer& answer, TimePoint now);
   /// A gateway of the zone has told that it reads the list.
   void on_reader_heard(TimePoint now) { reader_heard_at_ = now; }
 
--- a/src/gateway/peers/store_reading_loop.cpp
+++ b/src/gateway/peers/store_reading_loop.cpp
@@ -7,7 +7,7 @@
 
 }  // namespace
 
-StoreReadingLoop::StoreReadingLoop(const Address& self, PeerId self_id, ContactBoard& board,
+StoreReadingLoop::StoreReadingLoop(const Address& self, PeerId self_id, ContactRegistry& board,
                                    Callbacks callbacks)
     : self_(self), board_(board), callbacks_(std::move(callbacks)), reading_(self, self_id) {}
 
@@ -38,15 +38,15 @@
 }
 
 void StoreReadingLoop::call(const ReadContact&) {
-  board_.read([this](const ContactBoardAnswer& answer) { on_answer(answer); });
+  board_.read([this](const ContactRegistryAnswer& answer) { on_answer(answer); });
 }
 
 void StoreReadingLoop::call(const ClaimContact& action) {
   board_.claim(self_, action.replaces,
-               [this](const ContactBoardAnswer& answer) { on_answer(answer); });
+               [this](const ContactRegistryAnswer& answer) { on_answer(answer); });
 }
 
-void StoreReadingLoop::on_answer(const ContactBoardAnswer& answer) {
+void StoreReadingLoop::on_answer(const ContactRegistryAnswer& answer) {
   reading_.search().on_answer(answer, loop_now());
   look();
 }
--- a/src/gateway/peers/store_reading_loop.h
+++ b/src/gateway/peers/store_reading_loop.h
@@ -17,7 +17,8 @@
     std::function<void(const Address& gateway)> on_contact;
   };
 
-  StoreReadingLoop(const Address& self, PeerId self_id, ContactBoard& board, Callbacks callbacks);
+  StoreReadingLoop(const Address& self, PeerId self_id, ContactRegistry& board,
+                   Callbacks callbacks);
   void start();
   /// A gateway of the same zone tells whether it reads the store, and reaches it.
   void on_gateway_heard(PeerId gateway, bool reads);
@@ -29,10 +30,10 @@
   void search();
   void call(const ReadContact& action);
   void call(const ClaimContact& action);
-  void on_answer(const ContactBoardAnswer& answer);
+  void on_answer(const ContactRegistryAnswer& answer);
 
   Address self_;
-  ContactBoard& board_;
+  ContactRegistry& board_;
   Callbacks callbacks_;
   StoreReading reading_;
   bool reads_ = false;
--- a/tests/gateway/peers/contact_search_test.cpp
+++ b/tests/gateway/peers/contact_search_test.cpp
@@ -21,9 +21,9 @@
   const Address self{"10.0.0.1", 7700};
   const Address other{"10.0.0.2", 7700};
 
-  static ContactBoardAnswer empty() { return {ContactBoardState::empty, {}}; }
-  static ContactBoardAnswer names(const Address& gateway, std::uint64_t revision) {
-    return {ContactBoardState::named, {gateway, revision}};
+  static ContactRegistryAnswer empty() { return {ContactRegistryState::empty, {}}; }
+  static ContactRegistryAnswer names(const Address& gateway, std::uint64_t revision) {
+    return {ContactRegistryState::named, {gateway, revision}};
   }
   template <class Action>
   std::optional<Action> next(ContactSearch& search) const {
@@ -31,7 +31,7 @@
     if (!action || !std::holds_alternative<Action>(*action)) return std::nullopt;
     return std::get<Action>(*action);
   }
-  ContactSearch after_reading(const ContactBoardAnswer& answer) const {
+  ContactSearch after_reading(const ContactRegistryAnswer& answer) const {
     ContactSearch search(self);
     CPPUNIT_ASSERT(next<ReadContact>(search));
     search.on_answer(answer, now);
--- /dev/null
+++ b/tests/platform/store_outage_test.cpp
@@ -0,0 +1,55 @@
+#include "platform/store_outage.h"
+
+#include <cppunit/extensions/HelperMacros.h>
+
+namespace pumicemast::platform {
+
+/// Callers were refused for four seconds after each outage of the store in which a version had
+/// been named: it was held to be as old as the outage.
+class StoreOutageTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(StoreOutageTest);
+  CPPUNIT_TEST(news_after_an_absence_is_no_older_than_its_end);
+  CPPUNIT_TEST(one_lost_call_is_no_absence);
+  CPPUNIT_TEST(an_absence_of_long_ago_bounds_nothing);
+  CPPUNIT_TEST(news_that_is_young_stays_so);
+  CPPUNIT_TEST_SUITE_END();
+
+ public:
+  void news_after_an_absence_is_no_older_than_its_end() {
+    outage_.on_failed(at(20));
+    outage_.on_failed(at(22));
+    outage_.on_failed(at(26));
+    outage_.on_answered();
+    CPPUNIT_ASSERT(outage_.bound_age(seconds(9), at(27)) == seconds(3));
+  }
+
+  void one_lost_call_is_no_absence() {
+    outage_.on_failed(at(20));
+    outage_.on_answered();
+    outage_.on_failed(at(26));
+    outage_.on_answered();
+    CPPUNIT_ASSERT(outage_.bound_age(seconds(9), at(27)) == seconds(9));
+  }
+
+  void an_absence_of_long_ago_bounds_nothing() {
+    outage_.on_failed(at(20));
+    outage_.on_failed(at(22));
+    outage_.on_answered();
+    CPPUNIT_ASSERT(outage_.bound_age(seconds(9), at(60)) == seconds(9));
+  }
+
+  void news_that_is_young_stays_so() {
+    outage_.on_failed(at(20));
+    outage_.on_failed(at(22));
+    CPPUNIT_ASSERT(outage_.bound_age(Duration::zero(), at(23)) == Duration::zero());
+  }
+
+ private:
+  static TimePoint at(std::int64_t second) { return TimePoint(seconds(second)); }
+
+  StoreOutage outage_{seconds(2)};
+};
+
+CPPUNIT_TEST_SUITE_REGISTRATION(StoreOutageTest);
+
+}  // namespace pumicemast::platform
--- a/tests/support/fleet_start_world.cpp
+++ b/tests/support/fleet_start_world.cpp
@@ -235,9 +235,10 @@
     if (const auto* claim = std::get_if<ClaimContact>(&action)) {
       if (claim->replaces.value_or(0) == contact.revision) contact = {index, contact.revision + 1};
     }
-    ContactBoardAnswer answer{ContactBoardState::empty, {}};
+    ContactRegistryAnswer answer{ContactRegistryState::empty, {}};
     if (contact.revision > 0) {
-      answer = {ContactBoardState::named, {gateways_[contact.gateway]->address, contact.revision}};
+      answer = {ContactRegistryState::named,
+                {gateways_[contact.gateway]->address, contact.revision}};
     }
     send_from_store(index, kSmallCallBytes, [this, index, answer] {
       gateways_[index]->reading.search().on_answer(answer, events_.now());
