--- a/tests/platform/translation_test.cpp
+++ b/tests/platform/translation_test.cpp
@@ -283,7 +283,7 @@
         "{\"items\":[{\"metadata\":{\"name\":\"a\"},\"spec\":\"\xff\xfe\x01\"},"
         "{\"metadata\":{\"name\":\"b\"},\"spec\":{\"slots\":8}}]}";
     const json body = parse_body(result);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, array_or_empty(body, "items").size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, array_at(body, "items").size());
     CPPUNIT_ASSERT_EQUAL(8, body["items"][1]["spec"]["slots"].get<int>());
     result.body = "{\"items\":[";
     CPPUNIT_ASSERT(!parse_body(result).is_object());
@@ -314,7 +314,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, value_or<std::uint64_t>(object.spec, "version", 0));
     CPPUNIT_ASSERT(read_object(json::parse("[1]")).spec.is_null());
     CPPUNIT_ASSERT(read_object(json::parse(R"({"metadata":3,"spec":null})")).name.empty());
-    CPPUNIT_ASSERT(array_or_empty(json::parse("7"), "items").empty());
+    CPPUNIT_ASSERT(array_at(json::parse("7"), "items").empty());
     FetchResult broken;
     broken.status = 200;
     broken.body = "{\"items\":[";
