--- a/src/admission/first_token_model.cpp
+++ b/src/admission/first_token_model.cpp
@@ -11,20 +11,20 @@
 /// Of the prompts without a first token so many are still to be read; the others are in the steps
 /// that make their first event. From the time of a pass over that from sending to the first event,
 /// 72 ms over 125 ms, on a fleet with 1.4 times the traffic that it can serve.
-constexpr double kUnreadShare = 0.6;
+constexpr double kUnreadPromptShare = 0.6;
 /// Share of a pass that is still to be played when a request reaches an engine.
-constexpr double kUnfinishedPass = 0.5;
+constexpr double kRemainingPassShare = 0.5;
 
 /// What waits for a place in the batch gets it as running requests leave.
 double slot_wait_ms(const EngineProfile& engine, const EngineLoad& load, double step_ms,
-                    double read_ms_per_token) {
+                    double prefill_ms_per_token) {
   const double slots = engine.slots;
-  const double beyond = load.running + load.waiting + 1 - slots;
-  if (beyond <= 0) return 0;
+  const double excess_requests = load.running + load.waiting + 1 - slots;
+  if (excess_requests <= 0) return 0;
   // A running request leaves after its tokens and its share of reading others' prompts.
-  const double stay_ms =
-      engine.usual_answer_tokens * step_ms + slots * engine.usual_prompt_tokens * read_ms_per_token;
-  return beyond * stay_ms / slots;
+  const double slot_hold_ms = engine.usual_answer_tokens * step_ms +
+                              slots * engine.usual_prompt_tokens * prefill_ms_per_token;
+  return excess_requests * slot_hold_ms / slots;
 }
 
 }  // namespace
@@ -33,18 +33,19 @@
                               double prompt_tokens) {
   const double batch = std::min<double>(load.running, engine.slots);
   const double step_ms = engine.step_ms + engine.step_ms_per_slot * batch;
-  const double read_ms_per_token = kMillisecondsPerSecond / engine.prompt_tokens_per_s;
-  const double to_read = load.pending_tokens * kUnreadShare + prompt_tokens;
-  const double pairs_ms =
-      prompt_tokens * prompt_tokens / 2 / kMillion * engine.pairs_ms_per_million;
+  const double prefill_ms_per_token = kMillisecondsPerSecond / engine.prompt_tokens_per_s;
+  const double tokens_to_read = load.pending_tokens * kUnreadPromptShare + prompt_tokens;
+  const double attention_ms =
+      prompt_tokens * prompt_tokens / 2 / kMillion * engine.attention_ms_per_million_pairs;
   // Each step of a pass takes in so many tokens of prompts.
-  const double read_in_a_pass =
+  const double tokens_per_pass =
       static_cast<double>(std::max(1U, engine.prompt_chunk)) * std::max(1U, engine.steps_per_pass);
-  const bool others_run = load.running > 0 || load.pending_tokens > 0;
-  const double passes = others_run ? kUnfinishedPass + std::ceil(to_read / read_in_a_pass) : 0;
+  const bool engine_busy = load.running > 0 || load.pending_tokens > 0;
+  const double passes =
+      engine_busy ? kRemainingPassShare + std::ceil(tokens_to_read / tokens_per_pass) : 0;
   const double steps_ms = passes * step_ms * engine.steps_per_pass;
-  return load.pace * (slot_wait_ms(engine, load, step_ms, read_ms_per_token) +
-                      to_read * read_ms_per_token + pairs_ms + steps_ms);
+  return load.pace * (slot_wait_ms(engine, load, step_ms, prefill_ms_per_token) +
+                      tokens_to_read * prefill_ms_per_token + attention_ms + steps_ms);
 }
 
 }  // namespace pumicemast
--- a/src/admission/overload_detector.h
+++ b/src/admission/overload_detector.h
@@ -10,21 +10,23 @@
 
 namespace pumicemast {
 
-class OverloadWatch {
+class OverloadDetector {
  public:
   /// A request of `service` that could have been answered in time found no room.
-  void on_turned_away(const std::string& service, TimePoint now) { turned_away_[service] = now; }
+  void on_avoidable_refusal(const std::string& service, TimePoint now) {
+    last_refusal_[service] = now;
+  }
   bool overloaded(const std::string& service, TimePoint now) const {
-    const auto found = turned_away_.find(service);
-    return found != turned_away_.end() && now - found->second < kRecent;
+    const auto found = last_refusal_.find(service);
+    return found != last_refusal_.end() && now - found->second < kOverloadMemory;
   }
 
  private:
   /// Long enough for a gateway that refuses a third of its requests to be seen as overloaded most
   /// of the time; short enough that callers who come back after a standstill find room again.
-  static constexpr Duration kRecent = milliseconds(350);
+  static constexpr Duration kOverloadMemory = milliseconds(350);
 
-  std::map<std::string, TimePoint> turned_away_;
+  std::map<std::string, TimePoint> last_refusal_;
 };
 
 }  // namespace pumicemast
--- a/src/admission/retry_estimator.h
+++ b/src/admission/retry_estimator.h
@@ -16,21 +16,21 @@
 
 namespace pumicemast {
 
-class StatedTimes {
+class RetryEstimator {
  public:
   /// Notes a request whose caller waits for `stated`.
   /// @param group  callers that may be thought to wait equally long.
-  void note(const std::string& group, Duration stated);
+  void on_request(const std::string& group, Duration stated);
   /// A caller of the group was told when to come back.
   /// @param left    of its time, by then.
   /// @param waited  since it asked first, by then.
-  void note_told(const std::string& group, Duration left, Duration waited);
+  void on_retry_advised(const std::string& group, Duration left, Duration waited);
   /// How long ago the caller asked first; zero when it seems to ask for the first time.
-  Duration already_waited(const std::string& group, Duration stated) const;
+  Duration estimated_wait(const std::string& group, Duration stated) const;
 
  private:
   /// Callers that were told to come back, by the time that they will state then.
-  struct Told {
+  struct AdvisedRetries {
     double weight = 0;
     double waited_ms = 0;  ///< Sum over them.
   };
@@ -38,14 +38,14 @@
   struct History {
     std::map<std::int64_t, double> weights;
     double total = 0;
-    std::map<std::int64_t, Told> told;
+    std::map<std::int64_t, AdvisedRetries> advised;
   };
-  static void forget_half(History& history);
-  static bool usual(const History& history, std::int64_t step);
+  static void halve_weights(History& history);
+  static bool is_usual(const History& history, std::int64_t step);
   /// By the usual times; zero where there are none.
-  static Duration since_usual_time(const History& history, Duration stated);
+  static Duration wait_from_usual_time(const History& history, Duration stated);
   /// By the times at which callers were told to come back.
-  static Duration since_told(const History& history, Duration stated);
+  static Duration wait_from_advised(const History& history, Duration stated);
 
   std::map<std::string, History> groups_;
 };
--- a/src/fleet/fleet_configuration.h
+++ b/src/fleet/fleet_configuration.h
@@ -56,7 +56,7 @@
   double context_ms_per_k = 0;  ///< Added per 1,000 tokens of context.
   double prompt_tokens_per_s = 10000;
   /// Added for a million pairs of a prompt's token and one before it.
-  double pairs_ms_per_million = 0;
+  double attention_ms_per_million_pairs = 0;
   std::uint32_t prompt_chunk = 2048;  ///< Prompt tokens read in one step at most.
   std::uint32_t steps_per_pass = 1;
   double usual_prompt_tokens = 1000;
--- a/src/gateway/requests/request_forwarder.h
+++ b/src/gateway/requests/request_forwarder.h
@@ -20,7 +20,7 @@
 #include <string>
 #include <vector>
 
-#include "admission/overload_watch.h"
+#include "admission/overload_detector.h"
 #include "common/time.h"
 #include "gateway/backends/backend_pool.h"
 #include "gateway/backends/weight_targets.h"
@@ -178,7 +178,7 @@
   RouteTablePointer routes_;
   Sessions sessions_;
   std::set<WaitingRank> waiting_;
-  OverloadWatch overload_;
+  OverloadDetector overload_;
   RetryBudgets retries_;
   CrashWitness crash_witness_;
   std::vector<RequestSummary> summaries_;
--- a/src/gateway/requests/request_forwarder_time.cpp
+++ b/src/gateway/requests/request_forwarder_time.cpp
@@ -83,7 +83,7 @@
   } else if (!session.waiting) {
     check_attempt(number, session, now, actions);
   } else if (now >= session.wait_until) {
-    if (!session.returning) overload_.on_turned_away(session.service->name, now);
+    if (!session.returning) overload_.on_avoidable_refusal(session.service->name, now);
     give_up(number, session, reason_at_end(session, now), now, actions);
   }
 }
--- a/src/gateway/requests/request_planner.cpp
+++ b/src/gateway/requests/request_planner.cpp
@@ -31,8 +31,8 @@
   // Without a service the request goes nowhere: its caller lacks a key, for example.
   if (session.service == nullptr || stated <= Duration::zero()) return;
   const std::string group = caller_group(session);
-  const Duration waited = stated_times_.already_waited(group, stated);
-  stated_times_.note(group, stated);
+  const Duration waited = retry_estimator_.estimated_wait(group, stated);
+  retry_estimator_.on_request(group, stated);
   session.first_asked = session.arrived - waited;
   session.returning = waited >= scaled(session.route->goal, kReturningShare);
 }
@@ -69,8 +69,8 @@
   const Duration stated = session.request.time_left;
   if (session.service == nullptr || stated <= Duration::zero()) return;
   const TimePoint returns_at = now + retry_after;
-  stated_times_.note_told(caller_group(session), stated - (returns_at - session.arrived),
-                          returns_at - session.first_asked);
+  retry_estimator_.on_retry_advised(caller_group(session), stated - (returns_at - session.arrived),
+                                    returns_at - session.first_asked);
 }
 
 Duration RequestPlanner::draw_retry_after(const RequestSession& session, TimePoint now) {
--- a/src/gateway/requests/request_planner.h
+++ b/src/gateway/requests/request_planner.h
@@ -5,7 +5,7 @@
 
 #include <random>
 
-#include "admission/stated_times.h"
+#include "admission/retry_estimator.h"
 #include "gateway/backends/backend_pool.h"
 #include "gateway/backends/weight_targets.h"
 #include "gateway/requests/forwarder_options.h"
@@ -33,7 +33,7 @@
 
   const WeightTargets& targets_;
   const ForwarderOptions& options_;
-  StatedTimes stated_times_;
+  RetryEstimator retry_estimator_;
   std::minstd_rand random_;
 };
 
--- a/tests/admission/first_token_model_test.cpp
+++ b/tests/admission/first_token_model_test.cpp
@@ -64,7 +64,7 @@
 
   void long_prompts_cost_the_pairs_of_their_tokens() {
     const double without = predict(4000);
-    engine.pairs_ms_per_million = 0.5;
+    engine.attention_ms_per_million_pairs = 0.5;
     CPPUNIT_ASSERT_DOUBLES_EQUAL(without + 8 * 0.5, predict(4000), kExact);
   }
 
--- a/tests/admission/retry_estimator_test.cpp
+++ b/tests/admission/retry_estimator_test.cpp
@@ -1,4 +1,4 @@
-#include "admission/stated_times.h"
+#include "admission/retry_estimator.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -7,8 +7,8 @@
 
 namespace pumicemast {
 
-class StatedTimesTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(StatedTimesTest);
+class RetryEstimatorTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(RetryEstimatorTest);
   CPPUNIT_TEST(who_states_the_usual_time_asks_for_the_first_time);
   CPPUNIT_TEST(who_states_less_has_waited_for_the_difference);
   CPPUNIT_TEST(many_that_come_back_do_not_become_usual);
@@ -20,11 +20,11 @@
   CPPUNIT_TEST(callers_that_never_come_back_make_nobody_return);
   CPPUNIT_TEST_SUITE_END();
 
-  StatedTimes times;
+  RetryEstimator times;
   std::mt19937 random_{1};
 
   void note(Duration stated, int count) {
-    for (int request = 0; request < count; ++request) times.note("chat", stated);
+    for (int request = 0; request < count; ++request) times.on_request("chat", stated);
   }
   Duration between(std::int64_t least_ms, std::int64_t most_ms) {
     return milliseconds(std::uniform_int_distribution<std::int64_t>(least_ms, most_ms)(random_));
@@ -32,26 +32,26 @@
   /// A first attempt that states any time within a second.
   bool first_is_mistaken(std::int64_t least_ms) {
     const Duration stated = between(least_ms, least_ms + 1000);
-    const bool mistaken = times.already_waited("chat", stated) > Duration::zero();
-    times.note("chat", stated);
+    const bool mistaken = times.estimated_wait("chat", stated) > Duration::zero();
+    times.on_request("chat", stated);
     return mistaken;
   }
   bool has_waited_about(Duration expected, Duration stated) const {
-    const Duration waited = times.already_waited("chat", stated);
+    const Duration waited = times.estimated_wait("chat", stated);
     return waited >= expected - milliseconds(20) && waited <= expected + milliseconds(20);
   }
 
  public:
   void who_states_the_usual_time_asks_for_the_first_time() {
     note(milliseconds(5996), 50);
-    CPPUNIT_ASSERT(times.already_waited("chat", milliseconds(5996)) == Duration::zero());
-    CPPUNIT_ASSERT(times.already_waited("chat", milliseconds(8000)) == Duration::zero());
+    CPPUNIT_ASSERT(times.estimated_wait("chat", milliseconds(5996)) == Duration::zero());
+    CPPUNIT_ASSERT(times.estimated_wait("chat", milliseconds(8000)) == Duration::zero());
   }
 
   void who_states_less_has_waited_for_the_difference() {
     note(milliseconds(6000), 50);
     CPPUNIT_ASSERT(has_waited_about(milliseconds(1500), milliseconds(4500)));
-    CPPUNIT_ASSERT(times.already_waited("other", milliseconds(4500)) == Duration::zero());
+    CPPUNIT_ASSERT(times.estimated_wait("other", milliseconds(4500)) == Duration::zero());
   }
 
   void many_that_come_back_do_not_become_usual() {
@@ -65,21 +65,21 @@
   void callers_of_two_patiences_are_told_apart_from_those_that_come_back() {
     note(milliseconds(6000), 70);
     note(milliseconds(3000), 30);
-    CPPUNIT_ASSERT(times.already_waited("chat", milliseconds(3000)) == Duration::zero());
+    CPPUNIT_ASSERT(times.estimated_wait("chat", milliseconds(3000)) == Duration::zero());
     CPPUNIT_ASSERT(has_waited_about(milliseconds(1000), milliseconds(2000)));
     CPPUNIT_ASSERT(has_waited_about(milliseconds(1000), milliseconds(5000)));
   }
 
   void little_history_tells_nothing() {
     note(milliseconds(6000), 5);
-    CPPUNIT_ASSERT(times.already_waited("chat", milliseconds(4500)) == Duration::zero());
+    CPPUNIT_ASSERT(times.estimated_wait("chat", milliseconds(4500)) == Duration::zero());
   }
 
   void a_new_habit_replaces_an_old_one() {
     note(milliseconds(6000), 1000);
     note(milliseconds(3000), 5000);
-    CPPUNIT_ASSERT(times.already_waited("chat", milliseconds(3000)) == Duration::zero());
-    CPPUNIT_ASSERT(times.already_waited("chat", milliseconds(4500)) == Duration::zero());
+    CPPUNIT_ASSERT(times.estimated_wait("chat", milliseconds(3000)) == Duration::zero());
+    CPPUNIT_ASSERT(times.estimated_wait("chat", milliseconds(4500)) == Duration::zero());
   }
 
   void who_was_told_to_come_back_is_known_among_callers_that_state_any_time() {
@@ -90,12 +90,12 @@
       mistaken += first_is_mistaken(5000) ? 1 : 0;
       if (round % 4 != 0) continue;
       // One in four is refused here, and as many return here that any gateway has refused.
-      times.note_told("chat", between(3400, 4700), milliseconds(1400));
+      times.on_retry_advised("chat", between(3400, 4700), milliseconds(1400));
       if (round < 400) continue;
       const Duration stated = between(3400, 4700) - milliseconds(30);
       ++returned;
-      recognized += times.already_waited("chat", stated) > milliseconds(1000) ? 1 : 0;
-      times.note("chat", stated);
+      recognized += times.estimated_wait("chat", stated) > milliseconds(1000) ? 1 : 0;
+      times.on_request("chat", stated);
     }
     CPPUNIT_ASSERT_EQUAL(0, mistaken);
     std::printf("\nfigure recognized=%d of %d\n", recognized, returned);
@@ -110,8 +110,8 @@
       // Some of either are refused, and come back.
       if (round % 10 != 0) continue;
       for (const std::int64_t least_ms : {3400, 1300}) {
-        times.note_told("chat", between(least_ms, least_ms + 1000), milliseconds(1400));
-        times.note("chat", between(least_ms, least_ms + 1000));
+        times.on_retry_advised("chat", between(least_ms, least_ms + 1000), milliseconds(1400));
+        times.on_request("chat", between(least_ms, least_ms + 1000));
       }
     }
     // Where those who return state what others begin with, they are fewer: all are held to be
@@ -125,13 +125,13 @@
       mistaken += first_is_mistaken(5000) ? 1 : 0;
       mistaken += first_is_mistaken(3400) ? 1 : 0;
       // One in five of the first group is told to come back at times at which others begin.
-      if (round % 5 == 0) times.note_told("chat", between(3400, 4400), milliseconds(1400));
+      if (round % 5 == 0) times.on_retry_advised("chat", between(3400, 4400), milliseconds(1400));
     }
     // One in a thousand, by chance.
     CPPUNIT_ASSERT(mistaken <= 6);
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(StatedTimesTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(RetryEstimatorTest);
 
 }  // namespace pumicemast
