--- a/src/admission/overload_detector.h
+++ b/src/admission/overload_detector.h
@@ -1,4 +1,4 @@
-/// Whether a service turns away requests that it could have answered in time.
+/// Detects that a service refuses requests that it could have answered in time.
 ///
 /// A decision core: no I/O.
 #pragma once
@@ -12,7 +12,8 @@
 
 class OverloadDetector {
  public:
-  /// A request of `service` that could have been answered in time found no room.
+  /// A request of `service` was refused for lack of capacity although its answer could still have
+  /// come in time.
   void on_avoidable_refusal(const std::string& service, TimePoint now) {
     last_refusal_[service] = now;
   }
@@ -22,8 +23,9 @@
   }
 
  private:
-  /// Long enough for a gateway that refuses a third of its requests to be seen as overloaded most
-  /// of the time; short enough that callers who come back after a standstill find room again.
+  /// How long a refusal marks its service as overloaded. Long enough that a gateway which refuses a
+  /// third of its requests counts as overloaded most of the time; short enough that callers who
+  /// retry after a standstill are admitted again.
   static constexpr Duration kOverloadMemory = milliseconds(350);
 
   std::map<std::string, TimePoint> last_refusal_;
--- a/src/admission/retry_estimator.cpp
+++ b/src/admission/retry_estimator.cpp
@@ -6,27 +6,30 @@
 namespace pumicemast {
 namespace {
 
-/// Stated times within one step count as equal: first attempts differ by the way from the caller.
+/// Deadlines within one step count as equal: those of first attempts differ by the network delay
+/// from the caller.
 constexpr Duration kStep = milliseconds(20);
-/// A time that so large a share of a group's requests state is one that its callers begin with.
-/// Callers that come back spread over a second, first attempts all fall into one step.
+/// A deadline stated by at least this share of a group's requests is one that its callers start
+/// with. The deadlines of retries spread over a second, while those of first attempts fall into one
+/// step.
 constexpr double kUsualShare = 0.1;
-/// Fewer within one step may be there by chance.
+/// A smaller number of requests within one step may be coincidence.
 constexpr double kMinimumUsualCount = 6;
-/// With fewer requests than this nothing is concluded. A gateway of 39 before 47 engines has seen
-/// so many for a service within two seconds of its start; of one route it would take many more.
+/// Nothing is concluded from fewer requests. One of 39 gateways in front of 47 engines has seen
+/// this many for a service within two seconds of its start; for a single route it would take much
+/// longer.
 constexpr double kMinimumHistory = 20;
-/// When a group's history has grown to so many requests, half of its weight is forgotten.
+/// At this weight of a group's history all its weights are halved.
 constexpr double kMaximumHistory = 1000;
 constexpr double kNegligible = 0.5;
-/// Callers come back a little later than they were told, by the way and by their own clocks.
+/// Retries come a little later than advised, because of network delay and the callers' own clocks.
 constexpr std::int64_t kNeighbouringSteps = 4;
-/// Of all that state such a time, those that were told to state it by then. Others come back to
-/// this gateway than it has told, and not all that were told come.
+/// Minimum share of advised retries among all requests that state such a deadline. Callers also
+/// retry at gateways that did not refuse them, and not every caller retries.
 constexpr double kAdvisedShare = 0.3;
-/// Fewer that were told say nothing.
+/// Fewer advised retries are not conclusive.
 constexpr double kMinimumAdvice = 3;
-/// Groups come and go with configurations; beyond so many all are learnt anew.
+/// Groups change with configurations; at this number of groups all history is discarded.
 constexpr std::size_t kMaximumGroups = 1000;
 
 }  // namespace
@@ -73,7 +76,7 @@
 }
 
 Duration RetryEstimator::wait_from_usual_time(const History& history, Duration stated) {
-  // The next of the usual times is the one that the caller began with.
+  // The next higher usual deadline is the one that the caller started with.
   for (auto entry = history.weights.lower_bound(stated / kStep); entry != history.weights.end();
        ++entry) {
     if (!is_usual(history, entry->first)) continue;
@@ -96,7 +99,7 @@
     advised.weight += entry->second.weight;
     advised.waited_ms += entry->second.waited_ms;
   }
-  // So many at least, but for chance.
+  // Lower estimate that allows for chance: one standard deviation below the count.
   const double lowest = advised.weight - std::sqrt(advised.weight);
   if (advised.weight < kMinimumAdvice || lowest < observed * kAdvisedShare) return Duration::zero();
   return from_seconds(advised.waited_ms / advised.weight / 1000);
--- a/src/admission/retry_estimator.h
+++ b/src/admission/retry_estimator.h
@@ -1,11 +1,11 @@
-/// Tells from the time that a caller states how long ago it asked first.
+/// Estimates from the deadline that a caller states how long ago it first asked.
 ///
-/// A decision core: no I/O. Callers state how long they will wait; one that was refused and comes
-/// back states what is left of its own time. Nothing else links its attempts: each has an id of its
-/// own and may meet another gateway. Two things are learnt of each group of callers:
-/// - the usual times that first attempts state, where these are few;
-/// - the times that callers will state who were told when to come back. Where these are a good part
-///   of all that state such a time, whoever states it has come back.
+/// A decision core: no I/O. Callers state how long they will wait; a caller that was refused and
+/// retries states what remains of its own time. Nothing else links the attempts: each has its own
+/// id and may reach another gateway. Two things are learnt for each group of callers:
+/// - the usual deadlines of first attempts, if there are few different ones;
+/// - the deadlines that refused callers will state when they retry as advised. If such callers are
+///   a large part of all that state a deadline, every caller that states it counts as retrying.
 #pragma once
 
 #include <cstdint>
@@ -18,23 +18,23 @@
 
 class RetryEstimator {
  public:
-  /// Notes a request whose caller waits for `stated`.
-  /// @param group  callers that may be thought to wait equally long.
+  /// Records a request whose caller waits for `stated`.
+  /// @param group  callers that are expected to start with the same deadline.
   void on_request(const std::string& group, Duration stated);
-  /// A caller of the group was told when to come back.
-  /// @param left    of its time, by then.
-  /// @param waited  since it asked first, by then.
+  /// A caller of the group was refused and told when to retry.
+  /// @param left    remaining time of the caller at the retry.
+  /// @param waited  time from its first attempt to the retry.
   void on_retry_advised(const std::string& group, Duration left, Duration waited);
-  /// How long ago the caller asked first; zero when it seems to ask for the first time.
+  /// How long ago the caller first asked; zero when this looks like a first attempt.
   Duration estimated_wait(const std::string& group, Duration stated) const;
 
  private:
-  /// Callers that were told to come back, by the time that they will state then.
+  /// Retries that callers were advised to make, for one step of the deadlines that they will state.
   struct AdvisedRetries {
     double weight = 0;
-    double waited_ms = 0;  ///< Sum over them.
+    double waited_ms = 0;  ///< Sum over these retries.
   };
-  /// Recent requests of a group, in steps of `kStep` of the time that they state.
+  /// Recent requests of a group, by their deadlines in steps of `kStep`.
   struct History {
     std::map<std::int64_t, double> weights;
     double total = 0;
@@ -42,9 +42,9 @@
   };
   static void halve_weights(History& history);
   static bool is_usual(const History& history, std::int64_t step);
-  /// By the usual times; zero where there are none.
+  /// Estimate from the usual deadlines; zero when none applies.
   static Duration wait_from_usual_time(const History& history, Duration stated);
-  /// By the times at which callers were told to come back.
+  /// Estimate from the advised retries; zero when there are too few.
   static Duration wait_from_advised(const History& history, Duration stated);
 
   std::map<std::string, History> groups_;
