--- a/src/admission/first_token_model.cpp
+++ b/src/admission/first_token_model.cpp
@@ -47,8 +47,8 @@
   const double passes =
       engine_busy ? kRemainingPassShare + std::ceil(tokens_to_read / tokens_per_pass) : 0;
   const double steps_ms = passes * step_ms * engine.steps_per_pass;
-  return load.pace * (slot_wait_ms(engine, load, step_ms, prefill_ms_per_token) +
-                      tokens_to_read * prefill_ms_per_token + attention_ms + steps_ms);
+  return load.slowdown * (slot_wait_ms(engine, load, step_ms, prefill_ms_per_token) +
+                          tokens_to_read * prefill_ms_per_token + attention_ms + steps_ms);
 }
 
 }  // namespace pumicemast
--- a/src/admission/first_token_model.h
+++ b/src/admission/first_token_model.h
@@ -14,7 +14,7 @@
   double running = 0;         ///< Requests in its batch.
   double waiting = 0;         ///< Requests sent that were not in the batch at the last report.
   double pending_tokens = 0;  ///< Prompt tokens of requests without a first token.
-  double pace = 1;  ///< Measured time over the profile's time; above 1 the engine is slow.
+  double slowdown = 1;  ///< Measured time over the profile's time; above 1 the engine is slow.
 };
 
 /// @param prompt_tokens  prompt tokens of the request.
--- a/src/fleet/backend_list.h
+++ b/src/fleet/backend_list.h
@@ -32,8 +32,8 @@
  public:
   enum class Step {
     apply,
-    ignore,    ///< Known already.
-    ask_whole  ///< Something in between was missed.
+    ignore,            ///< Known already.
+    request_full_list  ///< Something in between was missed.
   };
 
   /// The whole list was read from the store.
@@ -41,7 +41,7 @@
   /// When the answer is `apply`, the changes count as known from now on.
   Step on_changes(const BackendChanges& changes) {
     if (changes.revision <= revision_) return Step::ignore;
-    if (!changes.whole && changes.base > revision_) return Step::ask_whole;
+    if (!changes.whole && changes.base > revision_) return Step::request_full_list;
     revision_ = changes.revision;
     return Step::apply;
   }
--- a/src/fleet/backend_record.h
+++ b/src/fleet/backend_record.h
@@ -13,11 +13,11 @@
 namespace pumicemast {
 
 /// One life of a back end's process: a restart makes another, with another id or a later start.
-struct BackendLife {
+struct BackendIncarnation {
   std::string id;
   std::int64_t started_at_ms = 0;  ///< Unix time by its own clock; 0 when it did not say.
 
-  auto operator<=>(const BackendLife&) const = default;
+  auto operator<=>(const BackendIncarnation&) const = default;
 };
 
 /// One incarnation of a back end. A restart makes a new one: with another id, or under the same
@@ -43,7 +43,7 @@
   std::uint32_t running = 0;
   std::uint32_t queued = 0;
   std::uint64_t weight_version = 0;  ///< Held whole and serving; 0 for none.
-  double pace = 1;                   ///< Over 1: slower than its profile.
+  double slowdown = 1;               ///< Over 1: slower than its profile.
   std::uint32_t credit = 0;          ///< New requests that may be sent until the next report.
   /// Prompt tokens that other gateways' requests wait to be read there.
   std::uint32_t others_unread_tokens = 0;
--- a/src/fleet/feeds.h
+++ b/src/fleet/feeds.h
@@ -27,9 +27,9 @@
   virtual void on_backend_gone(const std::string& id, std::uint64_t revision) = 0;
   /// Everything that was told of back ends makes up the list of this revision.
   virtual void on_backends_current(std::uint64_t revision) = 0;
-  /// @param oldest  the naming is at most so long ago; zero when it was seen as it happened.
+  /// @param maximum_age  the naming is at most so long ago; zero when it was seen as it happened.
   virtual void on_weights_named(const std::string& model, std::uint64_t version,
-                                Duration oldest) = 0;
+                                Duration maximum_age) = 0;
   /// The list of back ends can be read again, or can't; told before what was read.
   virtual void on_list_reachable(bool reachable) = 0;
   /// The platform's store answers, or has ceased to.
--- a/src/fleet/fleet_configuration.h
+++ b/src/fleet/fleet_configuration.h
@@ -38,7 +38,7 @@
   int priority = 0;                ///< 0 is the most urgent.
   std::vector<WeightedService> services;
   std::uint32_t attempts = 1;  ///< Back ends that one request may be sent to.
-  bool open_to_all = false;    ///< Needs no key.
+  bool is_public = false;      ///< Needs no key.
   bool resumable = false;
 };
 
--- a/src/fleet/rate_limit.h
+++ b/src/fleet/rate_limit.h
@@ -9,7 +9,7 @@
 namespace pumicemast {
 
 /// What the head of one answer says of the limit.
-struct StatedRateLimit {
+struct ResponseRateLimit {
   bool readable = true;              ///< False: a limit is stated, but is no number of requests.
   std::optional<double> per_second;  ///< Empty: none is stated.
 };
@@ -19,11 +19,11 @@
   std::optional<double> per_second;  ///< Empty: none is named.
   TimePoint observed_at{};           ///< When the answer came, by the clock of this process.
 
-  bool named() const { return per_second.has_value(); }
+  bool is_limited() const { return per_second.has_value(); }
 };
 
 /// The newest of several observations of one back end.
-class RateLimitBelief {
+class RateLimitTracker {
  public:
   /// Observations may come out of order and by several ways; the newest one holds.
   /// @return whether the limit is another one now.
--- a/src/gateway/backends/backend_choice.cpp
+++ b/src/gateway/backends/backend_choice.cpp
@@ -39,7 +39,7 @@
   }
   EngineLoad load;
   if (is_fresh) {
-    load.pace = std::max(1.0, backend.report.pace);
+    load.slowdown = std::max(1.0, backend.report.slowdown);
     load.running = backend.report.running;
     load.waiting = backend.report.queued + static_cast<double>(backend.sent.size());
     load.pending_tokens = backend.unread_prompt_tokens + backend.report.others_unread_tokens;
@@ -82,7 +82,7 @@
   const double others_reading_ms = backend.report.running * engine.usual_prompt_tokens *
                                    kMillisecondsPerSecond / engine.prompt_tokens_per_s;
   const double token_ms = engine.step_ms + others_reading_ms / usual_tokens;
-  const double answer_ms = wait_ms + std::max(1.0, backend.report.pace) * tokens * token_ms;
+  const double answer_ms = wait_ms + std::max(1.0, backend.report.slowdown) * tokens * token_ms;
   const TimePoint leaves_at = backend.reported_at + *backend.report.leaves_in;
   return std::max(0.0, answer_ms - to_seconds(leaves_at - now) * kMillisecondsPerSecond);
 }
--- a/src/gateway/backends/backend_limits.cpp
+++ b/src/gateway/backends/backend_limits.cpp
@@ -21,7 +21,7 @@
   return "unknown";
 }
 
-void BackendLimits::on_answer(const std::string& backend, const StatedRateLimit& stated,
+void BackendLimits::on_answer(const std::string& backend, const ResponseRateLimit& stated,
                               bool served, TimePoint asked_at, TimePoint now) {
   if (!stated.readable) {
     ++unreadable_;
@@ -33,7 +33,7 @@
     return;
   }
   const RateLimit known = limit_of(backend);
-  if (!known.named() || !served) return;
+  if (!known.is_limited() || !served) return;
   const bool asked_later = asked_at > known.observed_at;
   if (asked_later && now - known.observed_at >= kLiftDelay)
     note(backend, {{}, now}, LimitSource::answer);
@@ -45,7 +45,7 @@
 }
 
 void BackendLimits::note(const std::string& backend, const RateLimit& limit, LimitSource source) {
-  if (!limit.named() && !beliefs_.contains(backend)) return;
+  if (!limit.is_limited() && !beliefs_.contains(backend)) return;
   if (beliefs_[backend].on_observed(limit)) changes_.push_back({backend, limit, source});
 }
 
@@ -57,7 +57,7 @@
 std::vector<std::string> BackendLimits::limited() const {
   std::vector<std::string> backends;
   for (const auto& [backend, belief] : beliefs_) {
-    if (belief.limit().named()) backends.push_back(backend);
+    if (belief.limit().is_limited()) backends.push_back(backend);
   }
   return backends;
 }
--- a/src/gateway/backends/backend_pool.cpp
+++ b/src/gateway/backends/backend_pool.cpp
@@ -229,7 +229,7 @@
   return found == backends_.end() || found->second.record.draining || found->second.gone;
 }
 
-BackendLife BackendPool::life_of(const std::string& id) const {
+BackendIncarnation BackendPool::life_of(const std::string& id) const {
   const auto found = backends_.find(id);
   return {id, found == backends_.end() ? 0 : found->second.record.started_at_ms};
 }
--- a/src/gateway/backends/backend_pool.h
+++ b/src/gateway/backends/backend_pool.h
@@ -133,7 +133,7 @@
   std::vector<PromptBacklog> take_changed_backlogs();
   bool leaving(const std::string& id) const;
   /// Of the process that has this id now, as the list tells.
-  BackendLife life_of(const std::string& id) const;
+  BackendIncarnation life_of(const std::string& id) const;
   /// Whether a back end of `service` holds weights of `lowest_version` or newer, with room or not.
   bool holds(const std::string& service, std::uint64_t lowest_version, TimePoint now) const;
   /// Its agent has said so lately.
--- a/src/gateway/peers/fleet_links.cpp
+++ b/src/gateway/peers/fleet_links.cpp
@@ -366,7 +366,7 @@
   report.running = message.running();
   report.queued = message.queued();
   report.weight_version = message.weight_version();
-  report.pace = message.pace();
+  report.slowdown = message.pace();
   report.credit = message.credit();
   report.others_unread_tokens = message.others_unread_tokens();
   report.gateways = message.gateways();
--- a/src/gateway/peers/fleet_state.cpp
+++ b/src/gateway/peers/fleet_state.cpp
@@ -200,7 +200,7 @@
 void FleetState::on_backend_changes(PeerId gateway, const BackendChanges& changes) {
   using Step = BackendListFollower::Step;
   const Step step = list_relay_.on_changes(changes);
-  if (step == Step::ask_whole) on_list_revision_told(gateway, changes.revision);
+  if (step == Step::request_full_list) on_list_revision_told(gateway, changes.revision);
   if (step != Step::apply) return;
   if (changes.whole) {
     std::vector<BackendRecord> records;
@@ -312,7 +312,7 @@
 }
 
 void FleetState::log_limit(const LimitChange& change) {
-  const bool named = change.limit.named();
+  const bool named = change.limit.is_limited();
   const std::string rate = named ? std::to_string(*change.limit.per_second) : "-";
   log_.line("limit", "backend id=" + change.backend + " limit_per_s=" + rate +
                          " source=" + to_string(change.source) +
--- a/src/gateway/peers/gateway_digest.h
+++ b/src/gateway/peers/gateway_digest.h
@@ -13,7 +13,7 @@
 
 /// The limit that a back end names, or that it names none any more.
 struct ToldLimit {
-  BackendLife backend;
+  BackendIncarnation backend;
   RateLimit limit;
 };
 
--- a/src/gateway/peers/permit_exchange.cpp
+++ b/src/gateway/peers/permit_exchange.cpp
@@ -71,7 +71,7 @@
 }
 
 PermitAnswer PermitExchange::issue(const PermitRequest& request, TimePoint now) {
-  Issuer& issuer = issuers_[BackendLife{request.backend, request.started_at_ms}];
+  Issuer& issuer = issuers_[BackendIncarnation{request.backend, request.started_at_ms}];
   issuer.asked_at = now;
   return issuer.permits.on_request(request, now);
 }
--- a/src/gateway/peers/permit_exchange.h
+++ b/src/gateway/peers/permit_exchange.h
@@ -49,7 +49,7 @@
   FleetLinks& links_;
   std::function<void()> on_room_;
   IssuerRanking ranking_;
-  std::map<BackendLife, Issuer> issuers_;
+  std::map<BackendIncarnation, Issuer> issuers_;
   Timer timer_;
 };
 
--- a/src/gateway/quarantine/crash_witness.cpp
+++ b/src/gateway/quarantine/crash_witness.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void CrashWitness::on_cut_off(const BackendLife& backend, const RequestFingerprint& request,
+void CrashWitness::on_cut_off(const BackendIncarnation& backend, const RequestFingerprint& request,
                               TimePoint now) {
   const auto ended = ended_.find(backend.id);
   if (ended != ended_.end() && now - ended->second <= kConfirmationLimit) {
--- a/src/gateway/quarantine/crash_witness.h
+++ b/src/gateway/quarantine/crash_witness.h
@@ -19,7 +19,7 @@
 
 /// A back end's process ended while these requests ran there.
 struct BackendCrash {
-  BackendLife backend;
+  BackendIncarnation backend;
   TimePoint at{};
   std::vector<RequestFingerprint> requests;
   /// Several back ends ended at that moment: what ended them may be common to them all.
@@ -29,7 +29,8 @@
 class CrashWitness {
  public:
   /// The attempt of a request broke off before its answer was whole.
-  void on_cut_off(const BackendLife& backend, const RequestFingerprint& request, TimePoint now);
+  void on_cut_off(const BackendIncarnation& backend, const RequestFingerprint& request,
+                  TimePoint now);
   /// The back end's process ended, whatever ran there.
   void on_ended(const std::string& backend, TimePoint now);
   /// What was found since the last call; once more what has turned out to be one of a crowd.
@@ -41,7 +42,7 @@
 
  private:
   struct CutOff {
-    BackendLife backend;
+    BackendIncarnation backend;
     RequestFingerprint request;
     TimePoint at{};
   };
--- a/src/gateway/requests/forwarder_actions.h
+++ b/src/gateway/requests/forwarder_actions.h
@@ -37,7 +37,7 @@
   bool not_run = false;   ///< It says that it did not run the request and never will.
   bool replaced = false;  ///< Another incarnation has the address.
   bool success = false;
-  StatedRateLimit rate_limit;
+  ResponseRateLimit rate_limit;
 };
 
 enum class RefusalReason {
--- a/src/gateway/requests/request_authorizer.cpp
+++ b/src/gateway/requests/request_authorizer.cpp
@@ -39,7 +39,7 @@
   if (tenant != nullptr) {
     grant.tenant = tenant->name;
     grant.priority = tenant->priority.value_or(grant.route->priority);
-  } else if (routes->has_tenants() && !grant.route->open_to_all) {
+  } else if (routes->has_tenants() && !grant.route->is_public) {
     grant.refusal = {kStatusUnauthorized, RefusalReason::no_key};
     return grant;
   }
--- a/src/gateway/requests/request_session.h
+++ b/src/gateway/requests/request_session.h
@@ -59,7 +59,7 @@
   bool waiting = false;
   // The attempt in progress.
   std::string backend;  ///< Empty when there is none.
-  BackendLife backend_life;
+  BackendIncarnation backend_life;
   Address backend_address;
   TimePoint sent_at{};
   TimePoint last_progress{};
--- a/src/host/host_daemon.cpp
+++ b/src/host/host_daemon.cpp
@@ -175,7 +175,7 @@
 void HostDaemon::on_backend_changes(PeerId gateway, const BackendChanges& changes) {
   using Step = BackendListFollower::Step;
   const Step step = engine_list_.on_changes(changes);
-  if (step == Step::ask_whole) on_reader_heard(gateway, changes.revision);
+  if (step == Step::request_full_list) on_reader_heard(gateway, changes.revision);
   if (step == Step::apply) update_peers();
 }
 
@@ -271,9 +271,9 @@
 void HostDaemon::follow_limit() {
   if (!permits_.take_changed()) return;
   const RateLimit& limit = permits_.limit();
-  const std::string rate = limit.named() ? std::to_string(*limit.per_second) : "-";
-  log_line("limit",
-           "engine limit_per_s=" + rate + (limit.named() ? " state=LIMITED" : " state=UNLIMITED"));
+  const std::string rate = limit.is_limited() ? std::to_string(*limit.per_second) : "-";
+  log_line("limit", "engine limit_per_s=" + rate +
+                        (limit.is_limited() ? " state=LIMITED" : " state=UNLIMITED"));
   metrics_.gauge("pumicemast_host_limit_requests_per_second", {}, limit.per_second.value_or(-1));
   const TimePoint now = loop_now();
   if (now - limit_told_at_ < kLimitReportInterval) return;
@@ -403,7 +403,7 @@
   message.running = report.running;
   message.queued = report.queued;
   message.weight_version = report.weight_version;
-  message.pace = static_cast<float>(report.pace);
+  message.pace = static_cast<float>(report.slowdown);
   message.gateways = static_cast<std::uint32_t>(subscribers_.size());
   message.largest_zone_gateways = largest_zone_gateways();
   message.started_at_ms = report.started_at_ms;
@@ -455,7 +455,7 @@
   }
   room_.taken = report.running + report.queued;
   // Under a limit permits take the place of credits, also at gateways that have not heard of it.
-  if (permits_.limit().named()) room_.taken = std::max(room_.taken, room_.slots);
+  if (permits_.limit().is_limited()) room_.taken = std::max(room_.taken, room_.slots);
   return dealer_.deal(room_, gateways);
 }
 
--- a/src/limits/permit_issuer.cpp
+++ b/src/limits/permit_issuer.cpp
@@ -25,9 +25,9 @@
   for (const TimePoint asked_at : request.given_back) take_back({request.gateway, asked_at});
   PermitAnswer answer{request.backend, request.asked_at, false, Duration::zero(), limit()};
   if (!request.wanted) return answer;
-  answer.granted = !limit().named() || bucket_.try_take(1, now);
+  answer.granted = !limit().is_limited() || bucket_.try_take(1, now);
   if (!answer.granted) answer.retry_after = bucket_.time_until(1, now);
-  if (answer.granted && limit().named()) {
+  if (answer.granted && limit().is_limited()) {
     grants_[{request.gateway, request.asked_at}] = {now, bucket_.level(now)};
   }
   return answer;
@@ -51,10 +51,10 @@
 
 void PermitIssuer::on_limit(const RateLimit& limit, TimePoint now) {
   if (limit.observed_at < restarted_at_) return;
-  const bool was_named = belief_.limit().named();
+  const bool was_named = belief_.limit().is_limited();
   if (!belief_.on_observed(limit)) return;
   changed_ = true;
-  if (!limit.named()) return;
+  if (!limit.is_limited()) return;
   // Empty at first: what gateways sent without permits is still on its way.
   if (!was_named) {
     bucket_ = TokenBucket();
@@ -64,7 +64,7 @@
 }
 
 void PermitIssuer::on_restarted(TimePoint now) {
-  changed_ = changed_ || belief_.limit().named();
+  changed_ = changed_ || belief_.limit().is_limited();
   belief_ = {};
   grants_.clear();
   restarted_at_ = now;
--- a/src/limits/permit_issuer.h
+++ b/src/limits/permit_issuer.h
@@ -63,7 +63,7 @@
   void note_level(TimePoint now);
   void take_back(const Ask& ask);
 
-  RateLimitBelief belief_;
+  RateLimitTracker belief_;
   TokenBucket bucket_;
   std::map<Ask, Grant> grants_;  ///< Those of the last seconds.
   TimePoint restarted_at_{};
--- a/tests/admission/first_token_model_test.cpp
+++ b/tests/admission/first_token_model_test.cpp
@@ -80,7 +80,7 @@
   void a_slow_engine_takes_longer_for_all() {
     load.running = 4;
     const double usual = predict(1000);
-    load.pace = 2;
+    load.slowdown = 2;
     CPPUNIT_ASSERT_DOUBLES_EQUAL(2 * usual, predict(1000), kExact);
   }
 };
--- a/tests/gateway/peers/backend_list_relay_test.cpp
+++ b/tests/gateway/peers/backend_list_relay_test.cpp
@@ -80,7 +80,7 @@
     using Step = BackendListFollower::Step;
     BackendListFollower follower;
     follower.on_read(10);
-    CPPUNIT_ASSERT(follower.on_changes({12, 15, false, {}}) == Step::ask_whole);
+    CPPUNIT_ASSERT(follower.on_changes({12, 15, false, {}}) == Step::request_full_list);
     CPPUNIT_ASSERT(follower.on_changes({10, 12, false, {}}) == Step::apply);
     CPPUNIT_ASSERT(follower.on_changes({10, 12, false, {}}) == Step::ignore);
     CPPUNIT_ASSERT(follower.on_changes({0, 20, true, {}}) == Step::apply);
--- a/tests/gateway/quarantine/crash_witness_test.cpp
+++ b/tests/gateway/quarantine/crash_witness_test.cpp
@@ -122,8 +122,8 @@
   static constexpr RequestFingerprint kFirst{1, 1};
   static constexpr RequestFingerprint kSecond{2, 2};
   static constexpr RequestFingerprint kThird{3, 3};
-  const BackendLife kE1{"e1", 1000};
-  const BackendLife kE2{"e2", 1000};
+  const BackendIncarnation kE1{"e1", 1000};
+  const BackendIncarnation kE2{"e2", 1000};
   const Address kEngine{"127.0.0.1", 1};
 
   static LoadReport report(bool alive, std::int64_t started_at_ms) {
--- a/tests/gateway/requests/crash_containment_test.cpp
+++ b/tests/gateway/requests/crash_containment_test.cpp
@@ -255,7 +255,7 @@
     std::size_t told = 0;
     for (std::uint64_t request = 1; request <= 10000; ++request) {
       for (int life = 0; life < kEndsToConvict; ++life) {
-        const BackendLife backend{"e", static_cast<std::int64_t>(request) * 10 + life};
+        const BackendIncarnation backend{"e", static_cast<std::int64_t>(request) * 10 + life};
         quarantine.on_crash({backend, now, {{request, request}}});
       }
       now += milliseconds(10);
--- a/tests/gateway/requests/request_authorizer_test.cpp
+++ b/tests/gateway/requests/request_authorizer_test.cpp
@@ -59,7 +59,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("read"), route_name);
     request.api_key = "unknown";
     CPPUNIT_ASSERT_EQUAL(401, authorize().refusal->status);
-    for (RouteRule& route : configuration.routes) route.open_to_all = true;
+    for (RouteRule& route : configuration.routes) route.is_public = true;
     const RequestGrant grant = authorize();
     CPPUNIT_ASSERT(!grant.refusal.has_value());
     CPPUNIT_ASSERT(grant.tenant.empty());
--- a/tests/limits/permit_issuer_test.cpp
+++ b/tests/limits/permit_issuer_test.cpp
@@ -123,7 +123,7 @@
     CPPUNIT_ASSERT_EQUAL(2.0, *issuer.limit().per_second);
     now += seconds(1);
     CPPUNIT_ASSERT(ask({}, now).granted);
-    CPPUNIT_ASSERT(!issuer.limit().named());
+    CPPUNIT_ASSERT(!issuer.limit().is_limited());
   }
 
   void what_was_observed_before_a_restart_is_not_taken() {
@@ -151,7 +151,7 @@
     CPPUNIT_ASSERT_EQUAL(1.4, *read.limit.per_second);
     CPPUNIT_ASSERT(read.limit.observed_at == elsewhere - milliseconds(250));
     CPPUNIT_ASSERT(encode(RateLimit{}, now) == nullptr);
-    CPPUNIT_ASSERT(!decode(static_cast<const wire::RateLimitState*>(nullptr), now).named());
+    CPPUNIT_ASSERT(!decode(static_cast<const wire::RateLimitState*>(nullptr), now).is_limited());
   }
 };
 
--- a/tests/platform/translation_test.cpp
+++ b/tests/platform/translation_test.cpp
@@ -124,7 +124,7 @@
     CPPUNIT_ASSERT(belongs("503 Service Unavailable", ""));
   }
 
-  StatedRateLimit stated(const std::string& fields, const std::string& status = "200 OK") {
+  ResponseRateLimit stated(const std::string& fields, const std::string& status = "200 OK") {
     return facts(status, fields).rate_limit;
   }
 
@@ -141,7 +141,7 @@
 
   void a_rate_that_is_no_number_changes_nothing() {
     for (const char* text : {"nan", "inf", "-1", "1e300", "2 a second", "0x2", "", "+2", "1,4"}) {
-      const StatedRateLimit limit = stated("Server-Limit: " + std::string(text) + "\r\n");
+      const ResponseRateLimit limit = stated("Server-Limit: " + std::string(text) + "\r\n");
       CPPUNIT_ASSERT_MESSAGE(text, !limit.readable && !limit.per_second);
     }
     const std::string many_digits(400, '9');
@@ -150,7 +150,7 @@
   }
 
   void what_another_runner_says_of_its_rate_is_not_taken() {
-    const StatedRateLimit limit = stated("Server-Limit: 1\r\n", "421 Misdirected Request");
+    const ResponseRateLimit limit = stated("Server-Limit: 1\r\n", "421 Misdirected Request");
     CPPUNIT_ASSERT(limit.readable && !limit.per_second);
   }
 
@@ -159,7 +159,7 @@
     const auto configuration = read_configuration(document);
     CPPUNIT_ASSERT(configuration.has_value());
     const RouteRule& route = configuration->routes.at(0);
-    CPPUNIT_ASSERT(route.kind == RequestKind::stream && route.resumable && route.open_to_all);
+    CPPUNIT_ASSERT(route.kind == RequestKind::stream && route.resumable && route.is_public);
     CPPUNIT_ASSERT(route.gap_goal == milliseconds(300));
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, route.services.size());
     CPPUNIT_ASSERT_EQUAL(90.0, route.services[0].weight);
--- a/tests/support/limited_fleet.cpp
+++ b/tests/support/limited_fleet.cpp
@@ -27,7 +27,7 @@
   route.goal = milliseconds(500);
   route.services = {{"engines", 1}};
   route.attempts = 2;
-  route.open_to_all = true;
+  route.is_public = true;
   ServiceProfile engines;
   engines.name = "engines";
   engines.engine = EngineProfile{};
@@ -275,7 +275,7 @@
   PermitRequest own = request;
   const auto gateways = static_cast<double>(gateways_.size());
   const bool shared = options_.sharing == LimitSharing::equal_shares;
-  if (shared && own.limit.named()) own.limit.per_second = *own.limit.per_second / gateways;
+  if (shared && own.limit.is_limited()) own.limit.per_second = *own.limit.per_second / gateways;
   PermitAnswer answer = gateway.local_issuers[request.backend].on_request(own, now_);
   answer.limit = request.limit;
   if (options_.sharing == LimitSharing::one_gateway && index != 0) answer.granted = false;
@@ -326,7 +326,7 @@
   load.alive = true;
   load.running = told.running;
   load.weight_version = 1;
-  load.credit = told.issuer.limit().named() ? 0 : 4;
+  load.credit = told.issuer.limit().is_limited() ? 0 : 4;
   load.gateways = static_cast<std::uint32_t>(gateways_.size());
   load.started_at_ms = told.started_at_ms;
   if (options_.sharing == LimitSharing::issuer) load.limit = told.issuer.limit();
--- a/tests/support/overload_world.cpp
+++ b/tests/support/overload_world.cpp
@@ -142,7 +142,7 @@
     route.path_prefix = std::string("/") + kind.name + "/";
     route.kind = RequestKind::stream;
     route.resumable = true;
-    route.open_to_all = true;
+    route.is_public = true;
     route.timeout = kPatience;
     route.goal = milliseconds(kind.goal_ms);
     route.attempts = 2;
