--- a/src/limits/permit_issuer.cpp
+++ b/src/limits/permit_issuer.cpp
@@ -12,17 +12,17 @@
 constexpr double kIssuedShare = 0.95;
 /// Requests a second to a back end whose limit is lower: without any answer it could not say that
 /// its limit has ended.
-constexpr double kLeastRate = 0.2;
+constexpr double kMinimumRate = 0.2;
 /// A permit that was granted longer ago is not taken back.
-constexpr Duration kGrantMemory = seconds(3);
+constexpr Duration kGrantRetention = seconds(3);
 
 }  // namespace
 
 PermitAnswer PermitIssuer::on_request(const PermitRequest& request, TimePoint now) {
   on_limit(request.limit, now);
   if (request.returned > 0) bucket_.put_back(request.returned);
-  note_level(now);
-  for (const TimePoint asked_at : request.given_back) take_back({request.gateway, asked_at});
+  update_grants(now);
+  for (const TimePoint asked_at : request.given_back) reclaim({request.gateway, asked_at});
   PermitAnswer answer{request.backend, request.asked_at, false, Duration::zero(), limit()};
   if (!request.wanted) return answer;
   answer.granted = !limit().is_limited() || bucket_.try_take(1, now);
@@ -33,15 +33,16 @@
   return answer;
 }
 
-void PermitIssuer::note_level(TimePoint now) {
-  std::erase_if(grants_,
-                [now](const auto& entry) { return now - entry.second.granted_at > kGrantMemory; });
+void PermitIssuer::update_grants(TimePoint now) {
+  std::erase_if(grants_, [now](const auto& entry) {
+    return now - entry.second.granted_at > kGrantRetention;
+  });
   const double level = bucket_.level(now);
-  for (auto& [ask, grant] : grants_) grant.highest_level = std::max(grant.highest_level, level);
+  for (auto& [key, grant] : grants_) grant.highest_level = std::max(grant.highest_level, level);
 }
 
-void PermitIssuer::take_back(const Ask& ask) {
-  const auto found = grants_.find(ask);
+void PermitIssuer::reclaim(const RequestKey& key) {
+  const auto found = grants_.find(key);
   if (found == grants_.end()) return;
   // What the bucket would hold now if the permit had not been granted, it would have been full with
   // the rest.
@@ -51,21 +52,21 @@
 
 void PermitIssuer::on_limit(const RateLimit& limit, TimePoint now) {
   if (limit.observed_at < restarted_at_) return;
-  const bool was_named = belief_.limit().is_limited();
-  if (!belief_.on_observed(limit)) return;
+  const bool was_limited = limit_tracker_.limit().is_limited();
+  if (!limit_tracker_.on_observed(limit)) return;
   changed_ = true;
   if (!limit.is_limited()) return;
   // Empty at first: what gateways sent without permits is still on its way.
-  if (!was_named) {
+  if (!was_limited) {
     bucket_ = TokenBucket();
     grants_.clear();
   }
-  bucket_.configure(std::max(kLeastRate, *limit.per_second * kIssuedShare), kBurst, now);
+  bucket_.configure(std::max(kMinimumRate, *limit.per_second * kIssuedShare), kBurst, now);
 }
 
 void PermitIssuer::on_restarted(TimePoint now) {
-  changed_ = changed_ || belief_.limit().is_limited();
-  belief_ = {};
+  changed_ = changed_ || limit_tracker_.limit().is_limited();
+  limit_tracker_ = {};
   grants_.clear();
   restarted_at_ = now;
 }
--- a/src/limits/permit_issuer.h
+++ b/src/limits/permit_issuer.h
@@ -49,23 +49,23 @@
   /// The back end's process was started anew: it has named nothing yet.
   void on_restarted(TimePoint now);
 
-  const RateLimit& limit() const { return belief_.limit(); }
+  const RateLimit& limit() const { return limit_tracker_.limit(); }
   /// Whether the limit has changed since the last call.
   bool take_changed();
 
  private:
-  using Ask = std::pair<std::uint64_t, TimePoint>;  ///< The gateway, and its asked_at.
+  using RequestKey = std::pair<std::uint64_t, TimePoint>;  ///< The gateway, and its asked_at.
   struct Grant {
     TimePoint granted_at{};
     double highest_level = 0;  ///< Of the bucket since then.
   };
   void on_limit(const RateLimit& limit, TimePoint now);
-  void note_level(TimePoint now);
-  void take_back(const Ask& ask);
+  void update_grants(TimePoint now);
+  void reclaim(const RequestKey& key);
 
-  RateLimitTracker belief_;
+  RateLimitTracker limit_tracker_;
   TokenBucket bucket_;
-  std::map<Ask, Grant> grants_;  ///< Those of the last seconds.
+  std::map<RequestKey, Grant> grants_;  ///< Those of the last seconds.
   TimePoint restarted_at_{};
   bool changed_ = false;
 };
