--- a/src/fleet/backend_list.h
+++ b/src/fleet/backend_list.h
@@ -1,7 +1,8 @@
-/// The list of back ends as one process passes it on to others of its zone.
+/// The list of back ends as one process relays it to others of its zone.
 ///
-/// Two gateways of a zone read the list from the platform's store; the others and the agents get it
-/// from them: each call to the store is priced, and the links to it are narrow.
+/// Two gateways of a zone read the list from the platform's store; the other gateways and the
+/// agents get it from them: every call to the store is charged for, and the links to it have little
+/// bandwidth.
 #pragma once
 
 #include <algorithm>
@@ -14,38 +15,38 @@
 
 struct BackendChange {
   BackendRecord record;
-  bool gone = false;  ///< Only its id and the revision count then.
+  bool gone = false;  ///< If set, only the record's id and revision are valid.
 };
 
-/// What makes the list of one revision into that of a later one.
+/// The difference between the list of one revision and that of a later one.
 struct BackendChanges {
   std::uint64_t base = 0;
   std::uint64_t revision = 0;
-  bool whole = false;  ///< The entries are the whole list, whatever was known.
+  bool whole = false;  ///< The entries are the complete list and replace what was known.
   std::vector<BackendChange> entries;
 };
 
-/// Knows whether what others pass on follows without a gap on what is known here.
+/// Checks that relayed changes follow without a gap on the list known here.
 ///
 /// A decision core: no I/O.
 class BackendListFollower {
  public:
   enum class Step {
     apply,
-    ignore,            ///< Known already.
-    request_full_list  ///< Something in between was missed.
+    ignore,            ///< Already known.
+    request_full_list  ///< Changes in between are missing.
   };
 
-  /// The whole list was read from the store.
+  /// The complete list was read from the store.
   void on_read(std::uint64_t revision) { revision_ = std::max(revision_, revision); }
-  /// When the answer is `apply`, the changes count as known from now on.
+  /// When the result is `apply`, the changes count as known from now on.
   Step on_changes(const BackendChanges& changes) {
     if (changes.revision <= revision_) return Step::ignore;
     if (!changes.whole && changes.base > revision_) return Step::request_full_list;
     revision_ = changes.revision;
     return Step::apply;
   }
-  /// Somebody else's list is of that revision.
+  /// Whether a list of `revision`, which another process has, is newer than the one known here.
   bool lacks(std::uint64_t revision) const { return revision > revision_; }
   std::uint64_t revision() const { return revision_; }
 
--- a/src/fleet/backend_record.h
+++ b/src/fleet/backend_record.h
@@ -12,51 +12,53 @@
 
 namespace pumicemast {
 
-/// One life of a back end's process: a restart makes another, with another id or a later start.
+/// Identifies one incarnation of a back end's process: a restart creates a new one, with another id
+/// or a later start.
 struct BackendIncarnation {
   std::string id;
-  std::int64_t started_at_ms = 0;  ///< Unix time by its own clock; 0 when it did not say.
+  std::int64_t started_at_ms = 0;  ///< Unix time by its own clock; 0 if not reported.
 
   auto operator<=>(const BackendIncarnation&) const = default;
 };
 
-/// One incarnation of a back end. A restart makes a new one: with another id, or under the same
-/// with a later start.
+/// What is known about one incarnation of a back end. A restart creates a new one: with another id,
+/// or with the same id and a later start.
 struct BackendRecord {
   std::string id;
-  std::int64_t started_at_ms = 0;  ///< Unix time by its own clock; 0 when it did not say.
+  std::int64_t started_at_ms = 0;  ///< Unix time by its own clock; 0 if not reported.
   std::string service;
   Address address;
   std::string zone;
   std::uint32_t slots = 1;
   bool draining = false;
-  /// Of the list's entry: a higher one is newer.
+  /// Revision of the list entry; a higher one is newer.
   std::uint64_t revision = 0;
-  /// Version of which all layers are held and serve; 0 for none, or for a plain service.
+  /// Weight version of which all layers are held and served; 0 for none, or for a plain service.
   std::uint64_t weight_version = 0;
 };
 
-/// The load of an engine, as the agent on its machine last read it.
+/// The load of an engine, as last read by the agent on its machine.
 struct LoadReport {
   bool alive = false;  ///< The engine answered its agent.
-  bool busy = false;   ///< It is changing weights.
+  bool busy = false;   ///< The engine is changing weights.
   std::uint32_t running = 0;
   std::uint32_t queued = 0;
-  std::uint64_t weight_version = 0;  ///< Held whole and serving; 0 for none.
-  double slowdown = 1;               ///< Over 1: slower than its profile.
-  std::uint32_t credit = 0;          ///< New requests that may be sent until the next report.
-  /// Prompt tokens that other gateways' requests wait to be read there.
+  std::uint64_t weight_version = 0;  ///< Completely held and served; 0 for none.
+  double slowdown = 1;       ///< Measured time over the profile's time; above 1 the engine is slow.
+  std::uint32_t credit = 0;  ///< New requests that may be sent until the next report.
+  /// Prompt tokens of other gateways' requests that the engine has not read yet.
   std::uint32_t others_unread_tokens = 0;
-  /// Until the engine leaves service to change weights, from the report on; if that is planned.
+  /// Time from the report until the engine leaves service to change weights; empty if not planned.
   std::optional<Duration> leaves_in;
-  std::uint32_t gateways = 0;  ///< To which its agent reports.
-  /// Orders that the engine has begun to carry out since it was started; its agent alone knows.
+  std::uint32_t gateways = 0;  ///< Gateways that the agent sends reports to.
+  /// Number of orders that the engine has begun to carry out since its start; known only to its
+  /// agent.
   std::uint64_t order_sequence = 0;
-  /// When the engine was started, by its own clock; 0 when it did not say.
+  /// Start time of the engine by its own clock; 0 if not reported.
   std::int64_t started_at_ms = 0;
-  /// Of these, those in the zone that has most.
+  /// How many of `gateways` are in the zone that has the most of them.
   std::uint32_t largest_zone_gateways = 0;
-  RateLimit limit;  ///< As the agent knows it.
+  RateLimit limit;  ///< As known to the agent.
 };
 
 }  // namespace pumicemast
--- a/src/fleet/contact_registry.h
+++ b/src/fleet/contact_registry.h
@@ -1,8 +1,8 @@
-/// Where gateways that start find one another: for each zone the platform keeps the address of one
+/// Lets starting gateways find one another: for each zone the platform keeps the address of one
 /// gateway.
 ///
-/// Implemented by a translator of the surrounding platform. The entry may be out of date: its
-/// gateway may be gone. It is replaced by who notices.
+/// Implemented by an adapter of the surrounding platform. An entry may be outdated because its
+/// gateway is gone; the gateway that notices this replaces it.
 #pragma once
 
 #include <cstdint>
@@ -13,16 +13,16 @@
 
 namespace pumicemast {
 
-/// The gateway of a zone that others ask first.
+/// The gateway of a zone that other gateways ask first.
 struct ContactEntry {
   Address gateway;             ///< Its internal address.
-  std::uint64_t revision = 0;  ///< A replacement names the revision that it replaces.
+  std::uint64_t revision = 0;  ///< A replacement states the revision that it replaces.
 };
 
 enum class ContactRegistryState {
   named,
-  empty,       ///< No gateway of the zone has entered itself yet.
-  unavailable  ///< No answer, or none that can be used; a claim may have been carried out.
+  empty,       ///< No gateway of the zone has registered itself yet.
+  unavailable  ///< No usable response; a claim may have been carried out.
 };
 
 inline const char* to_string(ContactRegistryState state) {
@@ -39,7 +39,7 @@
 
 struct ContactRegistryAnswer {
   ContactRegistryState state = ContactRegistryState::unavailable;
-  ContactEntry entry;  ///< Where the state is `named`.
+  ContactEntry entry;  ///< Valid in state `named`.
 };
 
 class ContactRegistry {
@@ -47,10 +47,12 @@
   using Callback = std::function<void(const ContactRegistryAnswer&)>;
 
   virtual ~ContactRegistry() = default;
-  /// Reads the entry of the own zone. One call at a time; the callback is called from the loop.
+  /// Reads the entry of this process's zone. One call at a time; the callback runs in the event
+  /// loop.
   virtual void read(Callback callback) = 0;
-  /// Enters `self`, if the entry is still that of `replaces`, or there is still none.
-  /// @param callback  gets the entry as it then is, whoever it names.
+  /// Registers `self` if the entry is still the one of revision `replaces`, or if there is still no
+  /// entry.
+  /// @param callback  receives the entry as it is afterwards, whichever gateway it names.
   virtual void claim(const Address& self, std::optional<std::uint64_t> replaces,
                      Callback callback) = 0;
 };
--- a/src/fleet/feeds.h
+++ b/src/fleet/feeds.h
@@ -1,6 +1,6 @@
-/// Where a process learns what operators declare and which back ends there are.
+/// The source of the operators' configuration and of the list of back ends.
 ///
-/// Implemented by a translator of the surrounding platform.
+/// Implemented by an adapter of the surrounding platform.
 #pragma once
 
 #include <cstdint>
@@ -17,37 +17,40 @@
 class FleetListener {
  public:
   virtual ~FleetListener() = default;
-  /// @param document  the configuration in the platform's own form, to pass on to others.
+  /// @param document  the configuration in the platform's own format, to relay to other processes.
   virtual void on_configuration(FleetConfiguration configuration, const std::string& document) = 0;
-  /// The whole list of back ends.
-  /// @param revision  of the list.
+  /// The complete list of back ends.
+  /// @param revision  revision of the list.
   virtual void on_backend_list(const std::vector<BackendRecord>& records,
                                std::uint64_t revision) = 0;
   virtual void on_backend(const BackendRecord& record) = 0;
   virtual void on_backend_gone(const std::string& id, std::uint64_t revision) = 0;
-  /// Everything that was told of back ends makes up the list of this revision.
+  /// The back ends reported so far make up the list of this revision.
   virtual void on_backends_current(std::uint64_t revision) = 0;
-  /// @param maximum_age  the naming is at most so long ago; zero when it was seen as it happened.
+  /// Operators have named the weight version that a model is to serve.
+  /// @param maximum_age  the version was named at most this long ago; zero when the change was seen
+  /// as it happened.
   virtual void on_weights_named(const std::string& model, std::uint64_t version,
                                 Duration maximum_age) = 0;
-  /// The list of back ends can be read again, or can't; told before what was read.
+  /// The list of back ends can be read again, or no longer; called before the data that was read.
   virtual void on_list_reachable(bool reachable) = 0;
-  /// The platform's store answers, or has ceased to.
+  /// The platform's store answers again, or no longer.
   virtual void on_store_reachable(bool reachable) = 0;
 };
 
 class FleetFeed {
  public:
   virtual ~FleetFeed() = default;
-  /// `listener` is told what is read from resume() on: first the present state, then each change.
+  /// `listener` receives what is read after resume(): first the current state, then each change.
   virtual void start(FleetListener& listener) = 0;
-  /// The platform's store is not read until resume(): other processes pass on what is there.
+  /// The platform's store is not read until resume(): other processes relay its contents.
   virtual void pause() = 0;
-  /// @param list_revision  of the list of back ends as others have passed it on; 0 for none.
+  /// @param list_revision  revision of the list of back ends that other processes have relayed; 0
+  /// for none.
   virtual void resume(std::uint64_t list_revision) = 0;
-  /// Of the zone of this process.
+  /// The contact registry, for the zone of this process.
   virtual ContactRegistry& contacts() = 0;
-  /// Reads a document that another process passed on; empty when it is not valid.
+  /// Parses a document that another process relayed; empty when it is not valid.
   virtual std::optional<FleetConfiguration> read_document(const std::string& document) = 0;
 };
 
--- a/src/fleet/fleet_configuration.h
+++ b/src/fleet/fleet_configuration.h
@@ -1,6 +1,7 @@
-/// What operators declare about routes, services, tenants and limits, as one version.
+/// Routes, services, tenants and limits as operators declare them, as one version.
 ///
-/// Immutable once built. The product's own form: whoever supplies it translates into it.
+/// Immutable once built. This is the product's own format; adapters of the surrounding platform
+/// translate into it.
 #pragma once
 
 #include <cstdint>
@@ -14,11 +15,11 @@
 
 namespace pumicemast {
 
-/// What may be done with a request whose answer was lost.
+/// Whether a request may be repeated when its answer was lost.
 enum class RequestKind {
   repeatable,      ///< May run more than once.
   not_repeatable,  ///< At most once.
-  stream,          ///< A series of events; repeatable only where it may be resumed.
+  stream,          ///< A series of events; may be repeated only if it can be resumed.
 };
 
 struct WeightedService {
@@ -26,38 +27,38 @@
   double weight = 1;
 };
 
-/// One route: requests of `host` whose path begins with `path_prefix`.
+/// One route: requests for `host` whose path begins with `path_prefix`.
 struct RouteRule {
   std::string name;
   std::string host;
   std::string path_prefix;
   RequestKind kind = RequestKind::not_repeatable;
   Duration timeout = seconds(30);
-  Duration goal = seconds(1);      ///< An answer (a stream's first event) within it is in time.
-  Duration gap_goal = seconds(1);  ///< Longest pause between a stream's events in time.
+  Duration goal = seconds(1);      ///< Limit for an answer, or a first event, to be in time.
+  Duration gap_goal = seconds(1);  ///< Longest pause between a stream's events to be in time.
   int priority = 0;                ///< 0 is the most urgent.
   std::vector<WeightedService> services;
-  std::uint32_t attempts = 1;  ///< Back ends that one request may be sent to.
-  bool is_public = false;      ///< Needs no key.
+  std::uint32_t attempts = 1;  ///< Maximum number of back ends that one request is sent to.
+  bool is_public = false;      ///< Needs no API key.
   bool resumable = false;
 };
 
 /// A model that an engine service serves.
 struct ModelProfile {
   std::string name;
-  Duration warm_time = seconds(1);  ///< From the order to start to serving, all layers.
+  Duration warm_time = seconds(1);  ///< From the start order until all layers are served.
 };
 
-/// How the engines of a service work; times in milliseconds, as their makers state them.
+/// Performance of a service's engines; times in milliseconds, as stated by their vendor.
 struct EngineProfile {
   std::uint32_t slots = 1;
-  double step_ms = 10;          ///< One token for every running request.
+  double step_ms = 10;          ///< Duration of a decode step: one token for every running request.
   double step_ms_per_slot = 0;  ///< Added per running request.
   double context_ms_per_k = 0;  ///< Added per 1,000 tokens of context.
   double prompt_tokens_per_s = 10000;
-  /// Added for a million pairs of a prompt's token and one before it.
+  /// Attention cost: added per million pairs of a prompt token and an earlier one.
   double attention_ms_per_million_pairs = 0;
-  std::uint32_t prompt_chunk = 2048;  ///< Prompt tokens read in one step at most.
+  std::uint32_t prompt_chunk = 2048;  ///< Maximum number of prompt tokens prefilled in one step.
   std::uint32_t steps_per_pass = 1;
   double usual_prompt_tokens = 1000;
   double usual_answer_tokens = 100;
@@ -68,7 +69,7 @@
   std::vector<ModelProfile> models;
 };
 
-/// The origin of weights.
+/// The server from which weights are originally fetched.
 struct OriginProfile {
   Address address;
   std::uint32_t maximum_connections = 1;
@@ -76,7 +77,7 @@
 
 struct ServiceProfile {
   std::string name;
-  std::uint32_t maximum_connections = 64;  ///< That one back end accepts from all callers.
+  std::uint32_t maximum_connections = 64;  ///< Accepted by one back end from all callers together.
   std::optional<EngineProfile> engine;
   std::optional<OriginProfile> origin;
 };
@@ -84,7 +85,7 @@
 struct TenantRule {
   std::string name;
   std::vector<std::string> keys;
-  std::optional<int> priority;  ///< Goes before the route's.
+  std::optional<int> priority;  ///< Overrides the route's priority.
 };
 
 struct CallerLimits {
--- a/src/fleet/rate_limit.h
+++ b/src/fleet/rate_limit.h
@@ -1,4 +1,4 @@
-/// The request rate that a back end accepts from all gateways together, as it names it itself.
+/// The request rate that a back end accepts from all gateways together, as it advertises it.
 #pragma once
 
 #include <algorithm>
@@ -8,33 +8,34 @@
 
 namespace pumicemast {
 
-/// What the head of one answer says of the limit.
+/// What the headers of one response say about the limit.
 struct ResponseRateLimit {
-  bool readable = true;              ///< False: a limit is stated, but is no number of requests.
-  std::optional<double> per_second;  ///< Empty: none is stated.
+  bool readable = true;              ///< False when a limit is advertised that is not a valid rate.
+  std::optional<double> per_second;  ///< Empty when none is advertised.
 };
 
-/// A limit, or that there is none, and when that was learnt.
+/// A limit, or the fact that there is none, and the time when this was observed.
 struct RateLimit {
-  std::optional<double> per_second;  ///< Empty: none is named.
-  TimePoint observed_at{};           ///< When the answer came, by the clock of this process.
+  std::optional<double> per_second;  ///< Empty when there is no limit.
+  TimePoint observed_at{};           ///< Arrival time of the response, by this process's clock.
 
   bool is_limited() const { return per_second.has_value(); }
 };
 
-/// The newest of several observations of one back end.
+/// Keeps the newest observation of one back end's limit.
 class RateLimitTracker {
  public:
-  /// Observations may come out of order and by several ways; the newest one holds.
-  /// @return whether the limit is another one now.
+  /// Observations may arrive out of order and by several paths; the newest one applies.
+  /// @return whether the limit has changed.
   bool on_observed(const RateLimit& limit) {
-    // Its age grows less exact with each process that passes it on: the first time counts.
+    // The age of an observation becomes less accurate with each process that relays it, so the
+    // first time at which a limit was observed is kept.
     if (limit.per_second == limit_.per_second) return false;
     if (limit.observed_at <= limit_.observed_at) return false;
     limit_ = limit;
     return true;
   }
-  /// An answer to this process has named the same limit again.
+  /// A response to this process has advertised the same limit again.
   void confirm(TimePoint at) { limit_.observed_at = std::max(limit_.observed_at, at); }
   const RateLimit& limit() const { return limit_; }
 
