--- a/src/limits/permit_issuer.cpp
+++ b/src/limits/permit_issuer.cpp
@@ -5,15 +5,15 @@
 namespace pumicemast {
 namespace {
 
-/// Requests that may come at once after a pause.
+/// Requests that may be sent at once after a pause.
 constexpr double kBurst = 2;
-/// Share of the limit that is issued. A permit is used a moment after it was issued, so that those
-/// of a little more than a window may arrive within it.
+/// Share of the limit that is issued. A permit is used slightly after it is issued, so the permits
+/// of slightly more than one time window may be used within one window.
 constexpr double kIssuedShare = 0.95;
-/// Requests a second to a back end whose limit is lower: without any answer it could not say that
-/// its limit has ended.
+/// Requests per second to a back end whose limit is lower: without any response it could not signal
+/// that its limit has ended.
 constexpr double kMinimumRate = 0.2;
-/// A permit that was granted longer ago is not taken back.
+/// A permit that was granted longer ago than this cannot be reclaimed.
 constexpr Duration kGrantRetention = seconds(3);
 
 }  // namespace
@@ -44,8 +44,8 @@
 void PermitIssuer::reclaim(const RequestKey& key) {
   const auto found = grants_.find(key);
   if (found == grants_.end()) return;
-  // What the bucket would hold now if the permit had not been granted, it would have been full with
-  // the rest.
+  // Without this grant, the bucket would have overflowed when its level came within one token of
+  // the burst; only what it could have kept is put back.
   bucket_.put_back(std::clamp(kBurst - found->second.highest_level, 0.0, 1.0));
   grants_.erase(found);
 }
@@ -56,7 +56,7 @@
   if (!limit_tracker_.on_observed(limit)) return;
   changed_ = true;
   if (!limit.is_limited()) return;
-  // Empty at first: what gateways sent without permits is still on its way.
+  // The bucket starts empty: requests that gateways sent without permits are still in transit.
   if (!was_limited) {
     bucket_ = TokenBucket();
     grants_.clear();
--- a/src/limits/permit_issuer.h
+++ b/src/limits/permit_issuer.h
@@ -1,11 +1,10 @@
 /// Issues the permits for one back end that limits the requests of all gateways together.
 ///
-/// A decision core: no I/O. Gateways don't see each other's requests: were each to keep the limit
-/// by itself, the back end would get it once from every gateway. One issuer holds the sum: who
-/// wants to send asks it first.
+/// A decision core: no I/O. Gateways don't see each other's requests: if each enforced the limit by
+/// itself, the back end would receive it once from every gateway. One issuer enforces the sum, and
+/// a gateway asks it before it sends a request.
 ///
-/// Invariant: within any W seconds, no more than rate * W + 2 permits are issued and not given
-/// back.
+/// Invariant: within any W seconds, at most rate * W + 2 permits are issued and not given back.
 #pragma once
 
 #include <cstdint>
@@ -20,33 +19,33 @@
 
 namespace pumicemast {
 
-/// What a gateway asks of the issuer, or only tells it.
+/// A gateway's message to the issuer: a request for a permit, or only information.
 struct PermitRequest {
-  std::string backend;             ///< Its id.
-  std::int64_t started_at_ms = 0;  ///< Of the back end's process; 0 when it did not say.
+  std::string backend;             ///< Id of the back end.
+  std::int64_t started_at_ms = 0;  ///< Start time of the back end's process; 0 if not reported.
   TimePoint asked_at{};            ///< By the gateway's clock; the answer repeats it.
-  bool wanted = false;             ///< A permit is asked for.
-  std::uint32_t returned = 0;      ///< Permits that were not used, and never will be.
-  RateLimit limit;                 ///< As the gateway knows it.
-  /// Earlier requests by their asked_at: their permits, if any were granted, were not used and
-  /// never will be. May be told more than once.
+  bool wanted = false;             ///< A permit is requested.
+  std::uint32_t returned = 0;      ///< Number of held permits that will not be used.
+  RateLimit limit;                 ///< As known to the gateway.
+  /// Earlier requests, identified by their asked_at: if their permits were granted, they will not
+  /// be used. May be sent more than once.
   std::vector<TimePoint> given_back{};
-  std::uint64_t gateway = 0;  ///< Who asks; sets apart requests of one moment.
+  std::uint64_t gateway = 0;  ///< The sender; distinguishes requests with the same asked_at.
 };
 
 struct PermitAnswer {
   std::string backend;
   TimePoint asked_at{};
   bool granted = false;
-  Duration retry_after = Duration::zero();  ///< Until one may be had; zero when this one is.
-  RateLimit limit;                          ///< As the issuer knows it.
+  Duration retry_after = Duration::zero();  ///< Until a permit is available; zero if granted.
+  RateLimit limit;                          ///< As known to the issuer.
 };
 
 class PermitIssuer {
  public:
-  /// Takes what the gateway tells, and answers what it asks.
+  /// Applies the gateway's information and answers its request.
   PermitAnswer on_request(const PermitRequest& request, TimePoint now);
-  /// The back end's process was started anew: it has named nothing yet.
+  /// The back end's process was restarted: it has advertised no limit yet.
   void on_restarted(TimePoint now);
 
   const RateLimit& limit() const { return limit_tracker_.limit(); }
@@ -54,10 +53,10 @@
   bool take_changed();
 
  private:
-  using RequestKey = std::pair<std::uint64_t, TimePoint>;  ///< The gateway, and its asked_at.
+  using RequestKey = std::pair<std::uint64_t, TimePoint>;  ///< The gateway and its asked_at.
   struct Grant {
     TimePoint granted_at{};
-    double highest_level = 0;  ///< Of the bucket since then.
+    double highest_level = 0;  ///< Highest level of the bucket since the grant.
   };
   void on_limit(const RateLimit& limit, TimePoint now);
   void update_grants(TimePoint now);
@@ -65,7 +64,7 @@
 
   RateLimitTracker limit_tracker_;
   TokenBucket bucket_;
-  std::map<RequestKey, Grant> grants_;  ///< Those of the last seconds.
+  std::map<RequestKey, Grant> grants_;  ///< Grants of the last kGrantRetention.
   TimePoint restarted_at_{};
   bool changed_ = false;
 };
--- a/src/limits/tenant_limiter.cpp
+++ b/src/limits/tenant_limiter.cpp
@@ -6,7 +6,8 @@
 namespace pumicemast {
 namespace {
 
-/// A caller refused for requests in progress cannot know when one ends.
+/// Retry delay for a caller refused because of the tenant's requests in flight: it cannot know when
+/// one of them ends.
 constexpr Duration kInFlightRetryAfter = seconds(1);
 
 }  // namespace
@@ -49,7 +50,7 @@
   State& state = tenants_[tenant];
   assert(state.in_flight > 0);
   --state.in_flight;
-  // Names come from callers: keep no state for tenants that nobody configured.
+  // Tenant names come from callers, so no state is kept for tenants that are not configured.
   if (!state.limited && state.in_flight == 0) tenants_.erase(tenant);
 }
 
--- a/src/limits/tenant_limiter.h
+++ b/src/limits/tenant_limiter.h
@@ -1,6 +1,6 @@
-/// Admits or refuses callers' requests by their tenant's limits.
+/// Admits or refuses callers' requests according to the limits of their tenant.
 ///
-/// A decision core: no I/O. A tenant's rate is for the whole system; each entry applies an
+/// A decision core: no I/O. A tenant's rate applies to the whole system; each entry enforces an
 /// equal share of it, because the balancer spreads callers evenly (docs/design/limits.md).
 #pragma once
 
@@ -22,13 +22,13 @@
 
 class TenantLimiter {
  public:
-  /// @param entry_count  entries that share each tenant's limits; at least 1.
+  /// @param entry_count  number of entries that share each tenant's limits; at least 1.
   explicit TenantLimiter(std::uint32_t entry_count) : entry_count_(entry_count) {}
 
-  /// Takes over the tenants of the configuration. Requests in progress stay counted.
+  /// Applies the tenants of the configuration. Requests in flight stay counted.
   void configure(const ObjectMap<Tenant>& tenants, TimePoint now);
-  /// Asks for one request. Every admitted one must be released. A tenant without an object
-  /// is not limited.
+  /// Decides on one request. release() must be called for every admitted request. A tenant without
+  /// a configuration object is not limited.
   LimitDecision admit(const std::string& tenant, TimePoint now);
   void release(const std::string& tenant);
 
--- a/src/limits/token_bucket.h
+++ b/src/limits/token_bucket.h
@@ -1,4 +1,4 @@
-/// A token bucket on the owning loop's time.
+/// A token bucket. The caller passes the time of its event loop.
 #pragma once
 
 #include <algorithm>
@@ -7,13 +7,13 @@
 
 namespace pumicemast {
 
-/// Holds up to `burst` tokens and gains `rate` a second. Starts full.
+/// Holds up to `burst` tokens and gains `rate` tokens per second. Starts full.
 class TokenBucket {
  public:
   TokenBucket() = default;
   TokenBucket(double rate, double burst) : rate_(rate), burst_(burst), tokens_(burst) {}
 
-  /// Changes the limits and keeps what is in the bucket, up to the new burst.
+  /// Changes the limits and keeps the tokens in the bucket, up to the new burst.
   void configure(double rate, double burst, TimePoint now) {
     refill(now);
     rate_ = rate;
@@ -21,7 +21,7 @@
     tokens_ = std::min(tokens_, burst);
   }
 
-  /// Takes `amount` tokens if they are there.
+  /// Takes `amount` tokens if they are available.
   bool try_take(double amount, TimePoint now) {
     refill(now);
     if (tokens_ < amount) return false;
@@ -29,23 +29,24 @@
     return true;
   }
 
-  /// Takes `amount` even below zero. For work that is already done, such as bytes received.
+  /// Takes `amount` tokens even if the balance becomes negative. For work that is already done,
+  /// such as bytes received.
   void take_into_debt(double amount, TimePoint now) {
     refill(now);
     tokens_ -= amount;
   }
 
-  /// Tokens that are there.
+  /// The available tokens.
   double level(TimePoint now) {
     refill(now);
     return tokens_;
   }
 
-  /// Gives back tokens whose work did not happen.
+  /// Returns tokens whose work did not happen.
   void put_back(double amount) { tokens_ = std::min(burst_, tokens_ + amount); }
 
-  /// Time until `amount` tokens are there; zero when they are. A bucket without a rate
-  /// answers one hour.
+  /// Time until `amount` tokens are available; zero when they are. A bucket without a rate returns
+  /// one hour.
   Duration time_until(double amount, TimePoint now) {
     refill(now);
     if (tokens_ >= amount) return Duration::zero();
