--- a/tests/platform/configuration_memory_test.cpp
+++ b/tests/platform/configuration_memory_test.cpp
@@ -16,8 +16,8 @@
 
 class ConfigurationMemoryTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ConfigurationMemoryTest);
-  CPPUNIT_TEST(a_route_in_force_takes_little);
-  CPPUNIT_TEST(reading_a_document_takes_a_small_multiple_of_its_length);
+  CPPUNIT_TEST(a_route_in_force_uses_little_memory);
+  CPPUNIT_TEST(parsing_a_document_uses_a_small_multiple_of_its_size);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr std::size_t kRoutes = 3000;
@@ -49,7 +49,7 @@
   }
 
  public:
-  void a_route_in_force_takes_little() {
+  void a_route_in_force_uses_little_memory() {
     auto configuration = read_configuration(nlohmann::json::parse(document()));
     CPPUNIT_ASSERT(configuration && configuration->routes.size() == kRoutes);
     const FleetConfiguration kept = *configuration;
@@ -61,7 +61,7 @@
     check(bytes, 300, "bytes a route of a table");
   }
 
-  void reading_a_document_takes_a_small_multiple_of_its_length() {
+  void parsing_a_document_uses_a_small_multiple_of_its_size() {
     const std::string text =
         R"({"metadata":{"name":"main","revision":7},"spec":)" + document() + "}";
     const std::size_t before = heap_bytes();
--- a/tests/platform/origin_client_test.cpp
+++ b/tests/platform/origin_client_test.cpp
@@ -12,11 +12,11 @@
 class OriginClientTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(OriginClientTest);
   CPPUNIT_TEST(chunks_of_another_version_survive_a_cancellation);
-  CPPUNIT_TEST(waiting_chunks_of_a_cancelled_version_are_not_asked_for);
-  CPPUNIT_TEST(manifests_asked_for_at_once_are_all_answered);
-  CPPUNIT_TEST(a_chunk_that_is_not_wanted_any_more_is_cancelled_alone);
-  CPPUNIT_TEST(an_answer_that_comes_slowly_is_not_given_up);
-  CPPUNIT_TEST(an_origin_that_answers_late_is_given_more_time);
+  CPPUNIT_TEST(queued_chunks_of_a_cancelled_version_are_not_requested);
+  CPPUNIT_TEST(concurrent_manifest_requests_are_all_answered);
+  CPPUNIT_TEST(cancelling_a_chunk_leaves_other_chunks_alone);
+  CPPUNIT_TEST(a_slow_response_is_not_aborted);
+  CPPUNIT_TEST(a_late_origin_gets_a_longer_timeout);
   CPPUNIT_TEST_SUITE_END();
 
   ScriptedServer server_;
@@ -43,7 +43,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("ok"), arrived_.front());
   }
 
-  void waiting_chunks_of_a_cancelled_version_are_not_asked_for() {
+  void queued_chunks_of_a_cancelled_version_are_not_requested() {
     fetch(2, 0);
     fetch(2, 1);
     fetch(2, 2);  // Waits for a connection.
@@ -67,7 +67,7 @@
 
   /// A version named while the manifest of the one before was on its way cut that call off without
   /// an answer: nobody asked for that manifest again.
-  void manifests_asked_for_at_once_are_all_answered() {
+  void concurrent_manifest_requests_are_all_answered() {
     std::vector<std::uint64_t> answered;
     for (const std::uint64_t version : {2, 3}) {
       origin_.fetch_manifest("m", version, [&answered, version](std::optional<WeightManifest>) {
@@ -85,7 +85,7 @@
     CPPUNIT_ASSERT((answered == std::vector<std::uint64_t>{2, 3}));
   }
 
-  void a_chunk_that_is_not_wanted_any_more_is_cancelled_alone() {
+  void cancelling_a_chunk_leaves_other_chunks_alone() {
     fetch(2, 0);
     run_until([&] { return server_.try_accept(); });
     server_.end();
@@ -99,7 +99,7 @@
   }
 
   /// Its link is narrow; what is given up has to be sent again.
-  void an_answer_that_comes_slowly_is_not_given_up() {
+  void a_slow_response_is_not_aborted() {
     fetch(2, 0);
     run_until([&] { return server_.try_accept(); });
     run_until([&] { return server_.try_read_request("\r\n\r\n"); });
@@ -113,7 +113,7 @@
   }
 
   /// Those before a call may hold the origin's link for longer than the first limit.
-  void an_origin_that_answers_late_is_given_more_time() {
+  void a_late_origin_gets_a_longer_timeout() {
     fetch(2, 0);
     run_until([&] { return server_.try_accept(); });
     wait_for(milliseconds(2700));
--- a/tests/platform/runner_control_test.cpp
+++ b/tests/platform/runner_control_test.cpp
@@ -13,7 +13,7 @@
 class RunnerControlTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RunnerControlTest);
   CPPUNIT_TEST(orders_for_two_models_are_both_answered);
-  CPPUNIT_TEST(an_order_states_the_count_that_the_runner_reported);
+  CPPUNIT_TEST(an_order_carries_the_reported_sequence_number);
   CPPUNIT_TEST_SUITE_END();
 
   ScriptedServer server_;
@@ -40,7 +40,7 @@
   }
 
   /// Without it a late order would be carried out whatever came after it.
-  void an_order_states_the_count_that_the_runner_reported() {
+  void an_order_carries_the_reported_sequence_number() {
     std::optional<LoadReport> report;
     runner_.read_load([&](const LoadReport& load) { report = load; });
     run_until([&] { return server_.try_accept(); });
--- a/tests/platform/store_list_test.cpp
+++ b/tests/platform/store_list_test.cpp
@@ -13,8 +13,8 @@
 /// Real sockets; every wait is for a condition.
 class StoreListTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StoreListTest);
-  CPPUNIT_TEST(a_nameless_item_at_the_end_of_a_page_costs_itself_alone);
-  CPPUNIT_TEST(a_page_without_any_name_ends_the_reading);
+  CPPUNIT_TEST(a_nameless_item_at_the_end_of_a_page_is_skipped);
+  CPPUNIT_TEST(a_page_without_names_ends_the_listing);
   CPPUNIT_TEST_SUITE_END();
 
   ScriptedServer server_;
@@ -39,7 +39,7 @@
   }
 
  public:
-  void a_nameless_item_at_the_end_of_a_page_costs_itself_alone() {
+  void a_nameless_item_at_the_end_of_a_page_is_skipped() {
     read();
     run_until([&] { return server_.try_accept(); });
     CPPUNIT_ASSERT_EQUAL(std::string("/objects/servers"), next_target());
@@ -52,7 +52,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("b"), listing_->objects[1].name);
   }
 
-  void a_page_without_any_name_ends_the_reading() {
+  void a_page_without_names_ends_the_listing() {
     read();
     run_until([&] { return server_.try_accept(); });
     next_target();
--- a/tests/platform/store_outage_test.cpp
+++ b/tests/platform/store_outage_test.cpp
@@ -8,14 +8,14 @@
 /// been named: it was held to be as old as the outage.
 class StoreOutageTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StoreOutageTest);
-  CPPUNIT_TEST(news_after_an_absence_is_no_older_than_its_end);
-  CPPUNIT_TEST(one_lost_call_is_no_absence);
-  CPPUNIT_TEST(an_absence_of_long_ago_bounds_nothing);
-  CPPUNIT_TEST(news_that_is_young_stays_so);
+  CPPUNIT_TEST(events_after_an_outage_are_no_older_than_its_end);
+  CPPUNIT_TEST(one_failed_call_is_no_outage);
+  CPPUNIT_TEST(a_long_past_outage_bounds_nothing);
+  CPPUNIT_TEST(recent_events_keep_their_age);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void news_after_an_absence_is_no_older_than_its_end() {
+  void events_after_an_outage_are_no_older_than_its_end() {
     outage_.on_failed(at(20));
     outage_.on_failed(at(22));
     outage_.on_failed(at(26));
@@ -23,7 +23,7 @@
     CPPUNIT_ASSERT(outage_.bound_age(seconds(9), at(27)) == seconds(3));
   }
 
-  void one_lost_call_is_no_absence() {
+  void one_failed_call_is_no_outage() {
     outage_.on_failed(at(20));
     outage_.on_answered();
     outage_.on_failed(at(26));
@@ -31,14 +31,14 @@
     CPPUNIT_ASSERT(outage_.bound_age(seconds(9), at(27)) == seconds(9));
   }
 
-  void an_absence_of_long_ago_bounds_nothing() {
+  void a_long_past_outage_bounds_nothing() {
     outage_.on_failed(at(20));
     outage_.on_failed(at(22));
     outage_.on_answered();
     CPPUNIT_ASSERT(outage_.bound_age(seconds(9), at(60)) == seconds(9));
   }
 
-  void news_that_is_young_stays_so() {
+  void recent_events_keep_their_age() {
     outage_.on_failed(at(20));
     outage_.on_failed(at(22));
     CPPUNIT_ASSERT(outage_.bound_age(Duration::zero(), at(23)) == Duration::zero());
--- a/tests/platform/translation_test.cpp
+++ b/tests/platform/translation_test.cpp
@@ -32,30 +32,30 @@
 
 class TranslationTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(TranslationTest);
-  CPPUNIT_TEST(reads_what_the_gateway_decides_upon);
-  CPPUNIT_TEST(hands_on_the_request_without_the_key_or_forged_fields);
-  CPPUNIT_TEST(numbers_beyond_reason_are_bounded);
-  CPPUNIT_TEST(a_resumption_names_the_last_event_once);
-  CPPUNIT_TEST(only_named_refusals_count_as_not_run);
-  CPPUNIT_TEST(an_answer_of_another_request_is_told_apart);
-  CPPUNIT_TEST(reads_the_rate_that_a_runner_takes);
-  CPPUNIT_TEST(a_rate_that_is_no_number_changes_nothing);
-  CPPUNIT_TEST(what_another_runner_says_of_its_rate_is_not_taken);
+  CPPUNIT_TEST(reads_the_request_fields_used_by_the_gateway);
+  CPPUNIT_TEST(forwards_the_request_without_key_or_forged_headers);
+  CPPUNIT_TEST(out_of_range_numbers_are_clamped);
+  CPPUNIT_TEST(a_resumed_request_carries_one_last_event_id);
+  CPPUNIT_TEST(only_explicit_refusals_count_as_not_run);
+  CPPUNIT_TEST(a_response_to_another_request_is_detected);
+  CPPUNIT_TEST(reads_the_rate_limit_of_a_runner);
+  CPPUNIT_TEST(an_invalid_rate_limit_is_ignored);
+  CPPUNIT_TEST(the_rate_limit_of_another_runner_is_ignored);
   CPPUNIT_TEST(reads_a_configuration);
-  CPPUNIT_TEST(the_reading_rate_of_engines_has_two_spellings);
-  CPPUNIT_TEST(a_reading_rate_of_nothing_is_none);
-  CPPUNIT_TEST(refuses_what_is_no_configuration);
-  CPPUNIT_TEST(a_runner_serves_only_what_it_holds_whole);
-  CPPUNIT_TEST(bad_documents_do_no_harm);
-  CPPUNIT_TEST(a_malformed_entry_names_no_runner);
-  CPPUNIT_TEST(unreadable_bytes_cost_no_more_than_what_they_are_in);
-  CPPUNIT_TEST(values_of_other_types_do_no_harm);
+  CPPUNIT_TEST(the_prefill_rate_has_two_spellings);
+  CPPUNIT_TEST(a_non_positive_prefill_rate_is_ignored);
+  CPPUNIT_TEST(rejects_invalid_configurations);
+  CPPUNIT_TEST(a_runner_serves_only_complete_versions);
+  CPPUNIT_TEST(malformed_documents_are_tolerated);
+  CPPUNIT_TEST(a_malformed_entry_yields_no_runner);
+  CPPUNIT_TEST(invalid_bytes_affect_only_their_entry);
+  CPPUNIT_TEST(values_of_wrong_types_are_tolerated);
   CPPUNIT_TEST_SUITE_END();
 
   GatewayTranslation translation;
 
  public:
-  void reads_what_the_gateway_decides_upon() {
+  void reads_the_request_fields_used_by_the_gateway() {
     const RequestFacts request = translation.read_request(read(kRequest));
     CPPUNIT_ASSERT_EQUAL(std::string("9c41"), request.id);
     CPPUNIT_ASSERT_EQUAL(std::string("/a/b?c=d"), request.target);
@@ -64,7 +64,7 @@
     CPPUNIT_ASSERT_EQUAL(1460.0, request.prompt_tokens);
   }
 
-  void hands_on_the_request_without_the_key_or_forged_fields() {
+  void forwards_the_request_without_key_or_forged_headers() {
     SendToBackend send;
     send.backend = "i-1";
     send.time_left = milliseconds(1234);
@@ -82,7 +82,7 @@
     CPPUNIT_ASSERT(text.find("Expect-Version") == std::string::npos);
   }
 
-  void numbers_beyond_reason_are_bounded() {
+  void out_of_range_numbers_are_clamped() {
     const auto with = [&](const std::string& fields) {
       return translation.read_request(read("GET /a HTTP/1.1\r\nHost: h\r\n" + fields + "\r\n"));
     };
@@ -100,7 +100,7 @@
     }
   }
 
-  void a_resumption_names_the_last_event_once() {
+  void a_resumed_request_carries_one_last_event_id() {
     SendToBackend send;
     send.backend = "i-1";
     send.resume_after = "17";
@@ -109,7 +109,7 @@
     CPPUNIT_ASSERT(text.find("Last-Event-Id: 12\r\n") == std::string::npos);
   }
 
-  void only_named_refusals_count_as_not_run() {
+  void only_explicit_refusals_count_as_not_run() {
     CPPUNIT_ASSERT(facts("503 Service Unavailable", "X-Pumicemast-Not-Executed: 1\r\n").not_run);
     CPPUNIT_ASSERT(facts("421 Misdirected Request", "").not_run);
     CPPUNIT_ASSERT(!facts("503 Service Unavailable", "").not_run);
@@ -117,7 +117,7 @@
     CPPUNIT_ASSERT(!facts("429 Too Many Requests", "").not_run);
   }
 
-  void an_answer_of_another_request_is_told_apart() {
+  void a_response_to_another_request_is_detected() {
     CPPUNIT_ASSERT(belongs("200 OK", "X-Pumicemast-Request-Id: 9c41\r\n"));
     CPPUNIT_ASSERT(!belongs("200 OK", "X-Pumicemast-Request-Id: 9c42\r\n"));
     CPPUNIT_ASSERT(!belongs("200 OK", ""));
@@ -128,7 +128,7 @@
     return facts(status, fields).rate_limit;
   }
 
-  void reads_the_rate_that_a_runner_takes() {
+  void reads_the_rate_limit_of_a_runner() {
     CPPUNIT_ASSERT(!stated("").per_second && stated("").readable);
     CPPUNIT_ASSERT_EQUAL(1.4, *stated("Server-Limit: 1.4\r\n").per_second);
     CPPUNIT_ASSERT_EQUAL(0.0, *stated("server-limit:0\r\n").per_second);
@@ -139,7 +139,7 @@
     CPPUNIT_ASSERT_EQUAL(2.0, *stated("Server-Limit: 2\r\nServer-Limit: x\r\n").per_second);
   }
 
-  void a_rate_that_is_no_number_changes_nothing() {
+  void an_invalid_rate_limit_is_ignored() {
     for (const char* text : {"nan", "inf", "-1", "1e300", "2 a second", "0x2", "", "+2", "1,4"}) {
       const ResponseRateLimit limit = stated("Server-Limit: " + std::string(text) + "\r\n");
       CPPUNIT_ASSERT_MESSAGE(text, !limit.readable && !limit.per_second);
@@ -149,7 +149,7 @@
     CPPUNIT_ASSERT_EQUAL(1e6, *stated("Server-Limit: 99999999999\r\n").per_second);
   }
 
-  void what_another_runner_says_of_its_rate_is_not_taken() {
+  void the_rate_limit_of_another_runner_is_ignored() {
     const ResponseRateLimit limit = stated("Server-Limit: 1\r\n", "421 Misdirected Request");
     CPPUNIT_ASSERT(limit.readable && !limit.per_second);
   }
@@ -171,7 +171,7 @@
     CPPUNIT_ASSERT_EQUAL(2, *configuration->tenants.at(0).priority);
   }
 
-  void the_reading_rate_of_engines_has_two_spellings() {
+  void the_prefill_rate_has_two_spellings() {
     for (const std::string name : {"read_per_s", "readPerS"}) {
       const json document = {{"version", 1},
                              {"routes", json::array()},
@@ -183,7 +183,7 @@
     }
   }
 
-  void a_reading_rate_of_nothing_is_none() {
+  void a_non_positive_prefill_rate_is_ignored() {
     for (const double rate : {0.0, -5.0}) {
       const json engine = {{"readPerS", rate}};
       const json document = {{"version", 1},
@@ -195,13 +195,13 @@
     }
   }
 
-  void refuses_what_is_no_configuration() {
+  void rejects_invalid_configurations() {
     CPPUNIT_ASSERT(!read_configuration(json()).has_value());
     CPPUNIT_ASSERT(!read_configuration(json::array()).has_value());
     CPPUNIT_ASSERT(!read_configuration(json{{"routes", json::array()}}).has_value());
   }
 
-  void a_runner_serves_only_what_it_holds_whole() {
+  void a_runner_serves_only_complete_versions() {
     const auto version = [](const char* text) {
       return complete_weight_version(json::parse(text), 16);
     };
@@ -219,7 +219,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, version(R"({"models":[],"layers":null})"));
   }
 
-  void bad_documents_do_no_harm() {
+  void malformed_documents_are_tolerated() {
     // Every value of a good document in turn becomes one of another type.
     const json good = json::parse(R"({"version":7,"routes":[{"name":"r","host":"h","timeoutMs":6}],
       "services":[{"name":"s","engine":{"slots":16,"models":[{"name":"m"}]}}],
@@ -244,7 +244,7 @@
   }
 
   /// Somebody else may write into the list of runners, too.
-  void a_malformed_entry_names_no_runner() {
+  void a_malformed_entry_yields_no_runner() {
     const json good = {{"service", "s"},       {"address", "10.0.0.1:80"}, {"zone", "z"},
                        {"slots", 8},           {"state", "ready"},         {"seq", 3},
                        {"born", 1796000000000}};
@@ -276,7 +276,7 @@
   }
 
   /// One entry held a byte that is no UTF-8: the whole page was given up, with all runners in it.
-  void unreadable_bytes_cost_no_more_than_what_they_are_in() {
+  void invalid_bytes_affect_only_their_entry() {
     FetchResult result;
     result.status = 200;
     result.body =
@@ -306,7 +306,7 @@
     return translation.belongs_to(reader.head(), "9c41");
   }
 
-  void values_of_other_types_do_no_harm() {
+  void values_of_wrong_types_are_tolerated() {
     const StoreObject object = read_object(
         json::parse(R"({"metadata":{"name":7,"revision":"x"},"spec":{"model":[],"version":"y"}})"));
     CPPUNIT_ASSERT(object.name.empty());
--- a/tests/platform/watch_continuity_test.cpp
+++ b/tests/platform/watch_continuity_test.cpp
@@ -8,25 +8,25 @@
 /// told was taken as named at that moment.
 class WatchContinuityTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(WatchContinuityTest);
-  CPPUNIT_TEST(before_the_first_answer_news_may_be_of_any_age);
-  CPPUNIT_TEST(news_of_an_unbroken_watch_is_new);
-  CPPUNIT_TEST(a_connection_that_ends_stood_until_a_little_before);
-  CPPUNIT_TEST(a_call_without_an_answer_may_have_been_lost_at_once);
-  CPPUNIT_TEST(further_failures_do_not_make_news_younger);
-  CPPUNIT_TEST(after_the_next_answer_news_is_new_again);
+  CPPUNIT_TEST(before_the_first_response_event_age_is_unbounded);
+  CPPUNIT_TEST(events_of_an_unbroken_watch_are_new);
+  CPPUNIT_TEST(a_failed_connection_worked_until_shortly_before);
+  CPPUNIT_TEST(a_timed_out_call_may_have_failed_immediately);
+  CPPUNIT_TEST(further_failures_do_not_reduce_event_age);
+  CPPUNIT_TEST(after_the_next_response_events_are_new);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void before_the_first_answer_news_may_be_of_any_age() {
+  void before_the_first_response_event_age_is_unbounded() {
     CPPUNIT_ASSERT(watch_.maximum_event_age(at(10)) == Duration::max());
   }
 
-  void news_of_an_unbroken_watch_is_new() {
+  void events_of_an_unbroken_watch_are_new() {
     watch_.on_answer(at(10));
     CPPUNIT_ASSERT(watch_.maximum_event_age(at(17)) == Duration::zero());
   }
 
-  void a_connection_that_ends_stood_until_a_little_before() {
+  void a_failed_connection_worked_until_shortly_before() {
     watch_.on_answer(at(10));
     watch_.on_failed(at(17));
     CPPUNIT_ASSERT(watch_.maximum_event_age(at(18)) == seconds(4));
@@ -35,13 +35,13 @@
     CPPUNIT_ASSERT(watch_.maximum_event_age(at(20)) == seconds(2));
   }
 
-  void a_call_without_an_answer_may_have_been_lost_at_once() {
+  void a_timed_out_call_may_have_failed_immediately() {
     watch_.on_answer(at(10));
     watch_.on_lost();
     CPPUNIT_ASSERT(watch_.maximum_event_age(at(19)) == seconds(9));
   }
 
-  void further_failures_do_not_make_news_younger() {
+  void further_failures_do_not_reduce_event_age() {
     watch_.on_answer(at(10));
     watch_.on_lost();
     watch_.on_failed(at(20));
@@ -49,7 +49,7 @@
     CPPUNIT_ASSERT(watch_.maximum_event_age(at(30)) == seconds(20));
   }
 
-  void after_the_next_answer_news_is_new_again() {
+  void after_the_next_response_events_are_new() {
     watch_.on_answer(at(10));
     watch_.on_lost();
     watch_.on_answer(at(20));
