--- a/tests/admission/first_token_model_test.cpp
+++ b/tests/admission/first_token_model_test.cpp
@@ -7,14 +7,14 @@
 /// The engine of these tests reads 20 tokens a millisecond and plays 5 steps of 10 ms in a pass.
 class FirstTokenModelTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FirstTokenModelTest);
-  CPPUNIT_TEST(an_idle_engine_reads_at_once);
-  CPPUNIT_TEST(a_running_batch_lets_a_prompt_in_between_two_passes);
-  CPPUNIT_TEST(prompts_within_what_a_pass_reads_wait_for_no_further_pass);
-  CPPUNIT_TEST(prompts_beyond_what_a_pass_reads_wait_for_another);
-  CPPUNIT_TEST(pending_prompts_are_partly_read_already);
-  CPPUNIT_TEST(long_prompts_cost_the_pairs_of_their_tokens);
-  CPPUNIT_TEST(a_full_batch_is_waited_for);
-  CPPUNIT_TEST(a_slow_engine_takes_longer_for_all);
+  CPPUNIT_TEST(an_idle_engine_prefills_at_once);
+  CPPUNIT_TEST(a_prompt_joins_a_running_batch_between_passes);
+  CPPUNIT_TEST(prompts_within_the_capacity_of_a_pass_need_no_further_pass);
+  CPPUNIT_TEST(prompts_beyond_the_capacity_of_a_pass_need_another);
+  CPPUNIT_TEST(pending_prompts_are_partly_prefilled);
+  CPPUNIT_TEST(long_prompts_incur_attention_cost);
+  CPPUNIT_TEST(a_full_batch_delays_the_first_token);
+  CPPUNIT_TEST(a_slowdown_scales_the_whole_prediction);
   CPPUNIT_TEST_SUITE_END();
 
   EngineProfile engine;
@@ -35,26 +35,29 @@
     engine.prompt_chunk = 2000;
   }
 
-  void an_idle_engine_reads_at_once() { CPPUNIT_ASSERT_DOUBLES_EQUAL(100, predict(2000), kExact); }
+  void an_idle_engine_prefills_at_once() {
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(100, predict(2000), kExact);
+  }
 
-  void a_running_batch_lets_a_prompt_in_between_two_passes() {
+  void a_prompt_joins_a_running_batch_between_passes() {
     load.running = 4;
     // Half of the pass in play, the reading, the pass whose end brings the first event.
     CPPUNIT_ASSERT_DOUBLES_EQUAL(25 + 50 + 50, predict(1000), kExact);
   }
 
-  void prompts_within_what_a_pass_reads_wait_for_no_further_pass() {
+  void prompts_within_the_capacity_of_a_pass_need_no_further_pass() {
     load.running = 4;
     CPPUNIT_ASSERT_DOUBLES_EQUAL(predict(2000) + 5, predict(2100), kExact);
   }
 
-  void prompts_beyond_what_a_pass_reads_wait_for_another() {
+  void prompts_beyond_the_capacity_of_a_pass_need_another() {
     load.running = 4;
-    const double readable = 5 * 2000;
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(predict(readable) + 5 + 50, predict(readable + 100), kExact);
+    const double tokens_per_pass = 5 * 2000;
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(predict(tokens_per_pass) + 5 + 50, predict(tokens_per_pass + 100),
+                                 kExact);
   }
 
-  void pending_prompts_are_partly_read_already() {
+  void pending_prompts_are_partly_prefilled() {
     load.running = 4;
     const double alone = predict(1000);
     load.pending_tokens = 2000;
@@ -62,22 +65,22 @@
     CPPUNIT_ASSERT(predict(1000) < alone + 2000 / 20.0);
   }
 
-  void long_prompts_cost_the_pairs_of_their_tokens() {
+  void long_prompts_incur_attention_cost() {
     const double without = predict(4000);
     engine.attention_ms_per_million_pairs = 0.5;
     CPPUNIT_ASSERT_DOUBLES_EQUAL(without + 8 * 0.5, predict(4000), kExact);
   }
 
-  void a_full_batch_is_waited_for() {
+  void a_full_batch_delays_the_first_token() {
     load.running = 15;
-    const double with_a_place = predict(1000);
+    const double with_free_slot = predict(1000);
     load.running = 16;
-    CPPUNIT_ASSERT(predict(1000) > with_a_place + 50);
+    CPPUNIT_ASSERT(predict(1000) > with_free_slot + 50);
     load.waiting = 2;
-    CPPUNIT_ASSERT(predict(1000) > with_a_place + 150);
+    CPPUNIT_ASSERT(predict(1000) > with_free_slot + 150);
   }
 
-  void a_slow_engine_takes_longer_for_all() {
+  void a_slowdown_scales_the_whole_prediction() {
     load.running = 4;
     const double usual = predict(1000);
     load.slowdown = 2;
--- a/tests/admission/overload_test.cpp
+++ b/tests/admission/overload_test.cpp
@@ -10,16 +10,16 @@
 class OverloadTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(OverloadTest);
   CPPUNIT_TEST(within_capacity_nearly_all_are_answered_in_time);
-  CPPUNIT_TEST(engines_are_kept_busy_for_answers_in_time);
+  CPPUNIT_TEST(engines_stay_busy_with_answers_in_time);
   CPPUNIT_TEST(large_requests_are_served_nearly_as_often_as_all);
-  CPPUNIT_TEST(a_wrong_reading_rate_shows_in_large_requests);
+  CPPUNIT_TEST(a_wrong_prefill_rate_hurts_large_requests);
   CPPUNIT_TEST(no_kind_of_request_starves);
-  CPPUNIT_TEST(gateways_with_more_callers_serve_them_alike);
-  CPPUNIT_TEST(who_comes_back_takes_no_room_from_first_attempts);
-  CPPUNIT_TEST(who_comes_back_is_known_though_callers_state_any_time);
+  CPPUNIT_TEST(gateways_serve_alike_whatever_their_number_of_callers);
+  CPPUNIT_TEST(retries_take_no_capacity_from_first_attempts);
+  CPPUNIT_TEST(retries_are_recognized_when_deadlines_vary);
   CPPUNIT_TEST_SUITE_END();
 
-  static tests::OverloadResult play(double load, std::uint64_t seed = 1) {
+  static tests::OverloadResult simulate(double load, std::uint64_t seed = 1) {
     tests::OverloadOptions options;
     options.load = load;
     options.seed = seed;
@@ -32,19 +32,19 @@
 
  public:
   void within_capacity_nearly_all_are_answered_in_time() {
-    CPPUNIT_ASSERT(play(0.7).all.in_time_share() >= 0.97);
+    CPPUNIT_ASSERT(simulate(0.7).all.in_time_share() >= 0.97);
   }
 
-  void engines_are_kept_busy_for_answers_in_time() {
+  void engines_stay_busy_with_answers_in_time() {
     for (const double load : {1.0, 1.3, 2.0}) {
       const double possible = 1 / load;
-      CPPUNIT_ASSERT(play(load).all.in_time_share() >= 0.9 * possible);
+      CPPUNIT_ASSERT(simulate(load).all.in_time_share() >= 0.9 * possible);
     }
   }
 
   /// Gateways that take engines for three times slower readers than they are turn large requests
   /// away first; a world that did not show it would prove nothing above.
-  void a_wrong_reading_rate_shows_in_large_requests() {
+  void a_wrong_prefill_rate_hurts_large_requests() {
     tests::OverloadOptions options;
     options.load = 1.3;
     options.believed_prompt_rate = 10000;
@@ -54,20 +54,20 @@
 
   void large_requests_are_served_nearly_as_often_as_all() {
     for (const double load : {1.0, 1.3, 2.0}) {
-      const tests::OverloadResult result = play(load, 2);
+      const tests::OverloadResult result = simulate(load, 2);
       CPPUNIT_ASSERT(result.largest_tenth.in_time_share() >= 0.7 * result.all.in_time_share());
     }
   }
 
   void no_kind_of_request_starves() {
-    const tests::OverloadResult result = play(1.3, 3);
+    const tests::OverloadResult result = simulate(1.3, 3);
     for (const auto& [kind, counts] : result.by_kind) {
       CPPUNIT_ASSERT_MESSAGE(kind, counts.in_time_share() >= 0.75 * result.all.in_time_share());
     }
   }
 
-  void gateways_with_more_callers_serve_them_alike() {
-    const tests::OverloadResult result = play(1.3, 4);
+  void gateways_serve_alike_whatever_their_number_of_callers() {
+    const tests::OverloadResult result = simulate(1.3, 4);
     for (const auto& [gateway, counts] : result.by_gateway) {
       std::printf("figure gateway=%zu asked=%lu in_time=%.3f\n", gateway,
                   static_cast<unsigned long>(counts.asked), counts.in_time_share());
@@ -75,15 +75,15 @@
     }
   }
 
-  void who_comes_back_takes_no_room_from_first_attempts() {
-    const tests::OverloadResult result = play(2.0, 5);
+  void retries_take_no_capacity_from_first_attempts() {
+    const tests::OverloadResult result = simulate(2.0, 5);
     CPPUNIT_ASSERT(result.returns_served_while_first_refused == 0);
     CPPUNIT_ASSERT(result.all.late * 20 <= result.all.in_time);
   }
 
   /// First attempts that state anything within a second hid those that come back: nobody was held
   /// to return, and late answers took the room of answers in time.
-  void who_comes_back_is_known_though_callers_state_any_time() {
+  void retries_are_recognized_when_deadlines_vary() {
     for (const double load : {1.3, 2.0}) {
       tests::OverloadOptions options;
       options.load = load;
--- a/tests/admission/retry_estimator_test.cpp
+++ b/tests/admission/retry_estimator_test.cpp
@@ -9,109 +9,109 @@
 
 class RetryEstimatorTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RetryEstimatorTest);
-  CPPUNIT_TEST(who_states_the_usual_time_asks_for_the_first_time);
-  CPPUNIT_TEST(who_states_less_has_waited_for_the_difference);
-  CPPUNIT_TEST(many_that_come_back_do_not_become_usual);
-  CPPUNIT_TEST(callers_of_two_patiences_are_told_apart_from_those_that_come_back);
-  CPPUNIT_TEST(little_history_tells_nothing);
-  CPPUNIT_TEST(a_new_habit_replaces_an_old_one);
-  CPPUNIT_TEST(who_was_told_to_come_back_is_known_among_callers_that_state_any_time);
-  CPPUNIT_TEST(two_groups_of_callers_that_state_any_time_are_not_taken_for_returning);
-  CPPUNIT_TEST(callers_that_never_come_back_make_nobody_return);
+  CPPUNIT_TEST(a_usual_deadline_is_a_first_attempt);
+  CPPUNIT_TEST(a_shorter_deadline_implies_the_difference_was_waited);
+  CPPUNIT_TEST(many_retries_do_not_become_usual);
+  CPPUNIT_TEST(two_usual_deadlines_are_distinguished_from_retries);
+  CPPUNIT_TEST(little_history_is_not_conclusive);
+  CPPUNIT_TEST(new_usual_deadlines_replace_old_ones);
+  CPPUNIT_TEST(advised_retries_are_recognized_among_varying_deadlines);
+  CPPUNIT_TEST(two_groups_with_varying_deadlines_are_not_taken_for_retries);
+  CPPUNIT_TEST(advice_that_is_not_followed_creates_no_retries);
   CPPUNIT_TEST_SUITE_END();
 
-  RetryEstimator times;
+  RetryEstimator estimator;
   std::mt19937 random_{1};
 
-  void note(Duration stated, int count) {
-    for (int request = 0; request < count; ++request) times.on_request("chat", stated);
+  void record(Duration stated, int count) {
+    for (int request = 0; request < count; ++request) estimator.on_request("chat", stated);
   }
   Duration between(std::int64_t least_ms, std::int64_t most_ms) {
     return milliseconds(std::uniform_int_distribution<std::int64_t>(least_ms, most_ms)(random_));
   }
   /// A first attempt that states any time within a second.
-  bool first_is_mistaken(std::int64_t least_ms) {
+  bool first_attempt_is_mistaken(std::int64_t least_ms) {
     const Duration stated = between(least_ms, least_ms + 1000);
-    const bool mistaken = times.estimated_wait("chat", stated) > Duration::zero();
-    times.on_request("chat", stated);
+    const bool mistaken = estimator.estimated_wait("chat", stated) > Duration::zero();
+    estimator.on_request("chat", stated);
     return mistaken;
   }
   bool has_waited_about(Duration expected, Duration stated) const {
-    const Duration waited = times.estimated_wait("chat", stated);
+    const Duration waited = estimator.estimated_wait("chat", stated);
     return waited >= expected - milliseconds(20) && waited <= expected + milliseconds(20);
   }
 
  public:
-  void who_states_the_usual_time_asks_for_the_first_time() {
-    note(milliseconds(5996), 50);
-    CPPUNIT_ASSERT(times.estimated_wait("chat", milliseconds(5996)) == Duration::zero());
-    CPPUNIT_ASSERT(times.estimated_wait("chat", milliseconds(8000)) == Duration::zero());
+  void a_usual_deadline_is_a_first_attempt() {
+    record(milliseconds(5996), 50);
+    CPPUNIT_ASSERT(estimator.estimated_wait("chat", milliseconds(5996)) == Duration::zero());
+    CPPUNIT_ASSERT(estimator.estimated_wait("chat", milliseconds(8000)) == Duration::zero());
   }
 
-  void who_states_less_has_waited_for_the_difference() {
-    note(milliseconds(6000), 50);
+  void a_shorter_deadline_implies_the_difference_was_waited() {
+    record(milliseconds(6000), 50);
     CPPUNIT_ASSERT(has_waited_about(milliseconds(1500), milliseconds(4500)));
-    CPPUNIT_ASSERT(times.estimated_wait("other", milliseconds(4500)) == Duration::zero());
+    CPPUNIT_ASSERT(estimator.estimated_wait("other", milliseconds(4500)) == Duration::zero());
   }
 
-  void many_that_come_back_do_not_become_usual() {
+  void many_retries_do_not_become_usual() {
     for (int round = 0; round < 500; ++round) {
-      note(milliseconds(6000), 1);
-      note(milliseconds(4000 + round * 2), 1);
+      record(milliseconds(6000), 1);
+      record(milliseconds(4000 + round * 2), 1);
     }
     CPPUNIT_ASSERT(has_waited_about(milliseconds(1500), milliseconds(4500)));
   }
 
-  void callers_of_two_patiences_are_told_apart_from_those_that_come_back() {
-    note(milliseconds(6000), 70);
-    note(milliseconds(3000), 30);
-    CPPUNIT_ASSERT(times.estimated_wait("chat", milliseconds(3000)) == Duration::zero());
+  void two_usual_deadlines_are_distinguished_from_retries() {
+    record(milliseconds(6000), 70);
+    record(milliseconds(3000), 30);
+    CPPUNIT_ASSERT(estimator.estimated_wait("chat", milliseconds(3000)) == Duration::zero());
     CPPUNIT_ASSERT(has_waited_about(milliseconds(1000), milliseconds(2000)));
     CPPUNIT_ASSERT(has_waited_about(milliseconds(1000), milliseconds(5000)));
   }
 
-  void little_history_tells_nothing() {
-    note(milliseconds(6000), 5);
-    CPPUNIT_ASSERT(times.estimated_wait("chat", milliseconds(4500)) == Duration::zero());
+  void little_history_is_not_conclusive() {
+    record(milliseconds(6000), 5);
+    CPPUNIT_ASSERT(estimator.estimated_wait("chat", milliseconds(4500)) == Duration::zero());
   }
 
-  void a_new_habit_replaces_an_old_one() {
-    note(milliseconds(6000), 1000);
-    note(milliseconds(3000), 5000);
-    CPPUNIT_ASSERT(times.estimated_wait("chat", milliseconds(3000)) == Duration::zero());
-    CPPUNIT_ASSERT(times.estimated_wait("chat", milliseconds(4500)) == Duration::zero());
+  void new_usual_deadlines_replace_old_ones() {
+    record(milliseconds(6000), 1000);
+    record(milliseconds(3000), 5000);
+    CPPUNIT_ASSERT(estimator.estimated_wait("chat", milliseconds(3000)) == Duration::zero());
+    CPPUNIT_ASSERT(estimator.estimated_wait("chat", milliseconds(4500)) == Duration::zero());
   }
 
-  void who_was_told_to_come_back_is_known_among_callers_that_state_any_time() {
+  void advised_retries_are_recognized_among_varying_deadlines() {
     int mistaken = 0;
     int recognized = 0;
     int returned = 0;
     for (int round = 0; round < 3000; ++round) {
-      mistaken += first_is_mistaken(5000) ? 1 : 0;
+      mistaken += first_attempt_is_mistaken(5000) ? 1 : 0;
       if (round % 4 != 0) continue;
       // One in four is refused here, and as many return here that any gateway has refused.
-      times.on_retry_advised("chat", between(3400, 4700), milliseconds(1400));
+      estimator.on_retry_advised("chat", between(3400, 4700), milliseconds(1400));
       if (round < 400) continue;
       const Duration stated = between(3400, 4700) - milliseconds(30);
       ++returned;
-      recognized += times.estimated_wait("chat", stated) > milliseconds(1000) ? 1 : 0;
-      times.on_request("chat", stated);
+      recognized += estimator.estimated_wait("chat", stated) > milliseconds(1000) ? 1 : 0;
+      estimator.on_request("chat", stated);
     }
     CPPUNIT_ASSERT_EQUAL(0, mistaken);
     std::printf("\nfigure recognized=%d of %d\n", recognized, returned);
     CPPUNIT_ASSERT(recognized * 10 >= returned * 9);
   }
 
-  void two_groups_of_callers_that_state_any_time_are_not_taken_for_returning() {
+  void two_groups_with_varying_deadlines_are_not_taken_for_retries() {
     int mistaken = 0;
     for (int round = 0; round < 3000; ++round) {
-      mistaken += first_is_mistaken(5000) ? 1 : 0;
-      mistaken += first_is_mistaken(2000) ? 1 : 0;
+      mistaken += first_attempt_is_mistaken(5000) ? 1 : 0;
+      mistaken += first_attempt_is_mistaken(2000) ? 1 : 0;
       // Some of either are refused, and come back.
       if (round % 10 != 0) continue;
       for (const std::int64_t least_ms : {3400, 1300}) {
-        times.on_retry_advised("chat", between(least_ms, least_ms + 1000), milliseconds(1400));
-        times.on_request("chat", between(least_ms, least_ms + 1000));
+        estimator.on_retry_advised("chat", between(least_ms, least_ms + 1000), milliseconds(1400));
+        estimator.on_request("chat", between(least_ms, least_ms + 1000));
       }
     }
     // Where those who return state what others begin with, they are fewer: all are held to be
@@ -119,13 +119,14 @@
     CPPUNIT_ASSERT_EQUAL(0, mistaken);
   }
 
-  void callers_that_never_come_back_make_nobody_return() {
+  void advice_that_is_not_followed_creates_no_retries() {
     int mistaken = 0;
     for (int round = 0; round < 3000; ++round) {
-      mistaken += first_is_mistaken(5000) ? 1 : 0;
-      mistaken += first_is_mistaken(3400) ? 1 : 0;
+      mistaken += first_attempt_is_mistaken(5000) ? 1 : 0;
+      mistaken += first_attempt_is_mistaken(3400) ? 1 : 0;
       // One in five of the first group is told to come back at times at which others begin.
-      if (round % 5 == 0) times.on_retry_advised("chat", between(3400, 4400), milliseconds(1400));
+      if (round % 5 == 0)
+        estimator.on_retry_advised("chat", between(3400, 4400), milliseconds(1400));
     }
     // One in a thousand, by chance.
     CPPUNIT_ASSERT(mistaken <= 6);
