--- a/tests/limits/permit_issuer_test.cpp
+++ b/tests/limits/permit_issuer_test.cpp
@@ -12,14 +12,14 @@
 class PermitIssuerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PermitIssuerTest);
   CPPUNIT_TEST(without_a_limit_everything_is_granted);
-  CPPUNIT_TEST(nothing_is_granted_at_once_after_a_limit_was_named);
-  CPPUNIT_TEST(a_permit_that_is_returned_is_granted_anew);
-  CPPUNIT_TEST(a_permit_that_is_given_back_is_granted_anew_once);
-  CPPUNIT_TEST(what_is_given_back_late_lets_no_more_through);
-  CPPUNIT_TEST(whoever_denies_says_when_to_ask_again);
-  CPPUNIT_TEST(the_newest_limit_that_a_gateway_tells_holds);
-  CPPUNIT_TEST(what_was_observed_before_a_restart_is_not_taken);
-  CPPUNIT_TEST(messages_carry_all_but_the_clock);
+  CPPUNIT_TEST(nothing_is_granted_right_after_a_limit_is_learnt);
+  CPPUNIT_TEST(a_returned_permit_is_granted_again);
+  CPPUNIT_TEST(a_permit_given_back_is_granted_again_once);
+  CPPUNIT_TEST(permits_given_back_late_keep_the_rate_bounded);
+  CPPUNIT_TEST(a_denial_states_when_to_retry);
+  CPPUNIT_TEST(the_newest_reported_limit_applies);
+  CPPUNIT_TEST(observations_from_before_a_restart_are_ignored);
+  CPPUNIT_TEST(messages_are_independent_of_the_clock);
   CPPUNIT_TEST_SUITE_END();
 
   PermitIssuer issuer;
@@ -35,7 +35,7 @@
     CPPUNIT_ASSERT(!issuer.take_changed());
   }
 
-  void nothing_is_granted_at_once_after_a_limit_was_named() {
+  void nothing_is_granted_right_after_a_limit_is_learnt() {
     CPPUNIT_ASSERT(!ask(1, now).granted);
     CPPUNIT_ASSERT(issuer.take_changed() && !issuer.take_changed());
     now += milliseconds(1100);
@@ -46,7 +46,7 @@
     CPPUNIT_ASSERT(ask({}, {}).granted && ask({}, {}).granted && !ask({}, {}).granted);
   }
 
-  void a_permit_that_is_returned_is_granted_anew() {
+  void a_returned_permit_is_granted_again() {
     ask(1, now);
     now += milliseconds(1100);
     CPPUNIT_ASSERT(ask({}, {}).granted);
@@ -64,7 +64,7 @@
   }
 
   // A gateway was cut off as its permit came: the permit was lost for good.
-  void a_permit_that_is_given_back_is_granted_anew_once() {
+  void a_permit_given_back_is_granted_again_once() {
     ask(1, now);
     now += milliseconds(1100);
     CPPUNIT_ASSERT(ask_as(7).granted);
@@ -78,7 +78,7 @@
     CPPUNIT_ASSERT(!ask_as(8).granted);
   }
 
-  void what_is_given_back_late_lets_no_more_through() {
+  void permits_given_back_late_keep_the_rate_bounded() {
     constexpr double kRate = 2;
     constexpr Duration kWindow = seconds(4);
     std::minstd_rand random(1);
@@ -108,14 +108,14 @@
     }
   }
 
-  void whoever_denies_says_when_to_ask_again() {
+  void a_denial_states_when_to_retry() {
     const PermitAnswer denied = ask(0.2, now);
     CPPUNIT_ASSERT(!denied.granted);
     now += denied.retry_after;
     CPPUNIT_ASSERT(ask({}, {}).granted);
   }
 
-  void the_newest_limit_that_a_gateway_tells_holds() {
+  void the_newest_reported_limit_applies() {
     ask(5, now);
     now += seconds(1);
     ask(2, now);
@@ -126,7 +126,7 @@
     CPPUNIT_ASSERT(!issuer.limit().is_limited());
   }
 
-  void what_was_observed_before_a_restart_is_not_taken() {
+  void observations_from_before_a_restart_are_ignored() {
     ask(1, now);
     now += seconds(1);
     issuer.on_restarted(now);
@@ -135,21 +135,21 @@
     CPPUNIT_ASSERT(!ask(1, now + milliseconds(100)).granted);
   }
 
-  void messages_carry_all_but_the_clock() {
-    const TimePoint elsewhere = TimePoint(seconds(5000));
+  void messages_are_independent_of_the_clock() {
+    const TimePoint receiver_now = TimePoint(seconds(5000));
     const PermitRequest request{
         "e1", 17, now, true, 3, {1.4, now - milliseconds(250)}, {now - seconds(1), now}};
     flatbuffers::FlatBufferBuilder builder;
     const auto message = encode(request, now);
     builder.Finish(wire::PermitRequest::Pack(builder, &message));
-    const PermitRequest read =
-        decode(*flatbuffers::GetRoot<wire::PermitRequest>(builder.GetBufferPointer()), elsewhere);
+    const PermitRequest read = decode(
+        *flatbuffers::GetRoot<wire::PermitRequest>(builder.GetBufferPointer()), receiver_now);
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), read.backend);
     CPPUNIT_ASSERT(read.started_at_ms == 17 && read.asked_at == now && read.wanted);
     CPPUNIT_ASSERT_EQUAL(3U, read.returned);
     CPPUNIT_ASSERT(read.given_back == request.given_back);
     CPPUNIT_ASSERT_EQUAL(1.4, *read.limit.per_second);
-    CPPUNIT_ASSERT(read.limit.observed_at == elsewhere - milliseconds(250));
+    CPPUNIT_ASSERT(read.limit.observed_at == receiver_now - milliseconds(250));
     CPPUNIT_ASSERT(encode(RateLimit{}, now) == nullptr);
     CPPUNIT_ASSERT(!decode(static_cast<const wire::RateLimitState*>(nullptr), now).is_limited());
   }
--- a/tests/limits/tenant_limiter_test.cpp
+++ b/tests/limits/tenant_limiter_test.cpp
@@ -6,7 +6,7 @@
 
 class TenantLimiterTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(TenantLimiterTest);
-  CPPUNIT_TEST(refuses_over_the_rate_and_says_when_to_come_back);
+  CPPUNIT_TEST(refuses_over_the_rate_and_states_when_to_retry);
   CPPUNIT_TEST(bounds_requests_in_progress);
   CPPUNIT_TEST(shares_a_tenants_rate_between_entries);
   CPPUNIT_TEST(an_unknown_tenant_is_not_limited);
@@ -14,7 +14,7 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void refuses_over_the_rate_and_says_when_to_come_back() {
+  void refuses_over_the_rate_and_states_when_to_retry() {
     TenantLimiter limiter(1);
     configure(limiter, {"t", 2, 2, 0, 5});
     CPPUNIT_ASSERT(limiter.admit("t", at(0)).admitted);
--- a/tests/limits/token_bucket_test.cpp
+++ b/tests/limits/token_bucket_test.cpp
@@ -6,9 +6,9 @@
 
 class TokenBucketTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(TokenBucketTest);
-  CPPUNIT_TEST(late_timers_cost_nothing_within_the_burst);
-  CPPUNIT_TEST(without_a_burst_each_late_timer_costs_its_delay);
-  CPPUNIT_TEST(an_idle_time_is_not_made_up_for_beyond_the_burst);
+  CPPUNIT_TEST(late_timers_lose_no_throughput_within_the_burst);
+  CPPUNIT_TEST(without_a_burst_late_timers_reduce_throughput);
+  CPPUNIT_TEST(idle_time_is_saved_up_only_to_the_burst);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr double kRate = 775000;  // Bytes a second: 0.85 of 7.3 Mbit/s.
@@ -16,7 +16,7 @@
 
   /// Sends chunks into debt for a second, each timer late by `lateness`, as an uplink's pacer does.
   /// @return how many were sent.
-  static int chunks_a_second(double burst, Duration lateness) {
+  static int chunks_per_second(double burst, Duration lateness) {
     TokenBucket bucket(kRate, burst);
     TimePoint now{seconds(100)};
     bucket.take_into_debt(burst, now);
@@ -31,17 +31,17 @@
   }
 
  public:
-  void late_timers_cost_nothing_within_the_burst() {
-    const int punctual = chunks_a_second(0, Duration::zero());
+  void late_timers_lose_no_throughput_within_the_burst() {
+    const int punctual = chunks_per_second(0, Duration::zero());
     CPPUNIT_ASSERT_EQUAL(32, punctual);
-    CPPUNIT_ASSERT(chunks_a_second(kRate * 0.02, milliseconds(6)) >= punctual - 1);
+    CPPUNIT_ASSERT(chunks_per_second(kRate * 0.02, milliseconds(6)) >= punctual - 1);
   }
 
-  void without_a_burst_each_late_timer_costs_its_delay() {
-    CPPUNIT_ASSERT(chunks_a_second(0, milliseconds(6)) <= 27);
+  void without_a_burst_late_timers_reduce_throughput() {
+    CPPUNIT_ASSERT(chunks_per_second(0, milliseconds(6)) <= 27);
   }
 
-  void an_idle_time_is_not_made_up_for_beyond_the_burst() {
+  void idle_time_is_saved_up_only_to_the_burst() {
     TokenBucket bucket(kRate, kRate * 0.02);
     TimePoint now{seconds(100)};
     bucket.take_into_debt(kChunk, now);
