--- a/tests/platform/configuration_memory_test.cpp
+++ b/tests/platform/configuration_memory_test.cpp
@@ -1,6 +1,6 @@
-// What users saw: a gateway ended over its memory limit of 160 MB while configurations of 1,400
-// routes more came in. Which of the things that are kept for a route could reach that, and at what
-// number of routes, is held here.
+// Guards against a gateway exceeding its memory limit of 160 MB, as users saw while configurations
+// with 1,400 more routes arrived. Bounds the memory per route of the structures that are kept for
+// routes, and so the number of routes at which the limit could be reached.
 #include <cppunit/extensions/HelperMacros.h>
 #include <malloc.h>
 
@@ -56,9 +56,9 @@
     const std::size_t before = heap_bytes();
     const auto table = std::make_shared<const RouteTable>(kept);
     const double bytes = static_cast<double>(heap_bytes() - before) / kRoutes;
-    // Measured: 227 bytes. Requests keep the table by which they were routed; 40 versions of 3,000
-    // routes that long requests keep are 27 MB.
-    check(bytes, 300, "bytes a route of a table");
+    // Requests keep the table by which they were routed: at 227 bytes per route, 40 versions of
+    // 3,000 routes that long requests keep take 27 MB.
+    check(bytes, 300, "bytes per route of a table");
   }
 
   void parsing_a_document_uses_a_small_multiple_of_its_size() {
@@ -67,11 +67,13 @@
     const std::size_t before = heap_bytes();
     const auto answer = std::make_unique<nlohmann::json>(nlohmann::json::parse(text));
     const double tree = static_cast<double>(heap_bytes() - before);
-    // Measured: 7.0 bytes. An object taken out of the answer is not a second tree.
-    check(tree / static_cast<double>(text.size()), 8, "bytes of the tree a byte of text");
+    // The tree takes 7.0 bytes per byte of text. An object that is read from the response is moved
+    // out of its tree and not copied.
+    check(tree / static_cast<double>(text.size()), 8, "bytes of the JSON tree per byte of text");
     const StoreObject object = read_object(std::move(*answer));
     const double both = static_cast<double>(heap_bytes() - before);
-    check(both / static_cast<double>(text.size()), 8, "with the object a byte of text");
+    check(both / static_cast<double>(text.size()), 8,
+          "bytes of the tree and the object per byte of text");
   }
 };
 
--- a/tests/platform/origin_client_test.cpp
+++ b/tests/platform/origin_client_test.cpp
@@ -8,7 +8,7 @@
 using tests::run_until;
 using tests::ScriptedServer;
 
-/// Real sockets; every wait is for a condition.
+/// Uses real sockets; every wait is for a condition.
 class OriginClientTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(OriginClientTest);
   CPPUNIT_TEST(chunks_of_another_version_survive_a_cancellation);
@@ -46,12 +46,12 @@
   void queued_chunks_of_a_cancelled_version_are_not_requested() {
     fetch(2, 0);
     fetch(2, 1);
-    fetch(2, 2);  // Waits for a connection.
+    fetch(2, 2);  // Waits for a free connection.
     fetch(3, 9);
     origin_.cancel_chunks("m", 2);
     for (std::size_t tries = 0; tries < 3 && arrived_.empty(); ++tries) {
       run_until([&] { return server_.try_accept(); });
-      // The connections of cancelled chunks carry nothing.
+      // The connections of cancelled chunks carry no request.
       for (int turn = 0; turn < 200; ++turn) {
         g_main_context_iteration(nullptr, FALSE);
         if (!server_.try_read_request("\r\n\r\n")) continue;
@@ -65,8 +65,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, arrived_.size());
   }
 
-  /// A version named while the manifest of the one before was on its way cut that call off without
-  /// an answer: nobody asked for that manifest again.
+  /// A version named during the manifest call of the previous one aborted that call without a
+  /// response, and that manifest was never requested again.
   void concurrent_manifest_requests_are_all_answered() {
     std::vector<std::uint64_t> answered;
     for (const std::uint64_t version : {2, 3}) {
@@ -98,7 +98,7 @@
     run_until([&] { return !arrived_.empty(); });
   }
 
-  /// Its link is narrow; what is given up has to be sent again.
+  /// The origin's link has little bandwidth, and an aborted transfer has to be sent again.
   void a_slow_response_is_not_aborted() {
     fetch(2, 0);
     run_until([&] { return server_.try_accept(); });
@@ -112,7 +112,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("xxxx"), arrived_.front());
   }
 
-  /// Those before a call may hold the origin's link for longer than the first limit.
+  /// Earlier calls may occupy the origin's link for longer than the initial timeout.
   void a_late_origin_gets_a_longer_timeout() {
     fetch(2, 0);
     run_until([&] { return server_.try_accept(); });
--- a/tests/platform/runner_control_test.cpp
+++ b/tests/platform/runner_control_test.cpp
@@ -9,7 +9,7 @@
 using tests::run_until;
 using tests::ScriptedServer;
 
-/// Real sockets; every wait is for a condition.
+/// Uses real sockets; every wait is for a condition.
 class RunnerControlTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RunnerControlTest);
   CPPUNIT_TEST(orders_for_two_models_are_both_answered);
@@ -20,7 +20,7 @@
   RunnerControl runner_{server_.address()};
 
  public:
-  /// An order whose outcome never comes would keep its model's weights, and gateways, waiting.
+  /// An order whose outcome is never reported would block its model's weights and the gateways.
   void orders_for_two_models_are_both_answered() {
     std::vector<StartOutcome> outcomes;
     const auto note = [&](StartOutcome outcome) { outcomes.push_back(outcome); };
@@ -39,7 +39,7 @@
     CPPUNIT_ASSERT(outcomes[1] == StartOutcome::refused);
   }
 
-  /// Without it a late order would be carried out whatever came after it.
+  /// Without it a delayed order would be carried out even after newer ones.
   void an_order_carries_the_reported_sequence_number() {
     std::optional<LoadReport> report;
     runner_.read_load([&](const LoadReport& load) { report = load; });
--- a/tests/platform/store_list_test.cpp
+++ b/tests/platform/store_list_test.cpp
@@ -9,8 +9,8 @@
 using tests::run_until;
 using tests::ScriptedServer;
 
-/// A page that ended in an item without a name was asked for from the beginning again, for ever.
-/// Real sockets; every wait is for a condition.
+/// Guards against an endless loop: after a page whose last item had no name, the list was requested
+/// from its beginning again. Uses real sockets; every wait is for a condition.
 class StoreListTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StoreListTest);
   CPPUNIT_TEST(a_nameless_item_at_the_end_of_a_page_is_skipped);
@@ -59,7 +59,7 @@
     answer(R"({"items":[{"spec":{}},null],"more":true,"at":9})");
     run_until([&] { return answered_; });
     CPPUNIT_ASSERT(!listing_.has_value());
-    // The list was not asked for from the beginning again.
+    // The list is not requested from the beginning again.
     CPPUNIT_ASSERT(!server_.try_read_request("\r\n\r\n"));
   }
 };
--- a/tests/platform/store_outage_test.cpp
+++ b/tests/platform/store_outage_test.cpp
@@ -4,8 +4,8 @@
 
 namespace pumicemast::platform {
 
-/// Callers were refused for four seconds after each outage of the store in which a version had
-/// been named: it was held to be as old as the outage.
+/// Guards against refusing callers for four seconds after each outage of the store in which a
+/// version was named: the version counted as old as the outage.
 class StoreOutageTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StoreOutageTest);
   CPPUNIT_TEST(events_after_an_outage_are_no_older_than_its_end);
--- a/tests/platform/translation_test.cpp
+++ b/tests/platform/translation_test.cpp
@@ -134,7 +134,7 @@
     CPPUNIT_ASSERT_EQUAL(0.0, *stated("server-limit:0\r\n").per_second);
     CPPUNIT_ASSERT_EQUAL(2.5,
                          *stated("Server-Limit: 2.5 \r\n", "503 Service Unavailable").per_second);
-    // Of two the lower one, wherever it stands, and whatever else is there.
+    // Of several values the lowest applies, whatever the order, and invalid ones are ignored.
     CPPUNIT_ASSERT_EQUAL(2.0, *stated("Server-Limit: 3\r\nServer-Limit: 2\r\n").per_second);
     CPPUNIT_ASSERT_EQUAL(2.0, *stated("Server-Limit: 2\r\nServer-Limit: x\r\n").per_second);
   }
@@ -220,7 +220,7 @@
   }
 
   void malformed_documents_are_tolerated() {
-    // Every value of a good document in turn becomes one of another type.
+    // Replaces each value of a valid document in turn by values of other types.
     const json good = json::parse(R"({"version":7,"routes":[{"name":"r","host":"h","timeoutMs":6}],
       "services":[{"name":"s","engine":{"slots":16,"models":[{"name":"m"}]}}],
       "limits":{"maxBodyBytes":1},"tenants":[{"name":"t","apiKeys":["k"]}]})");
@@ -243,7 +243,7 @@
     CPPUNIT_ASSERT(!read_runner("i", json{{"address", "nowhere"}}, 0).has_value());
   }
 
-  /// Somebody else may write into the list of runners, too.
+  /// Other writers may add entries to the runner list.
   void a_malformed_entry_yields_no_runner() {
     const json good = {{"service", "s"},       {"address", "10.0.0.1:80"}, {"zone", "z"},
                        {"slots", 8},           {"state", "ready"},         {"seq", 3},
@@ -275,7 +275,8 @@
     CPPUNIT_ASSERT_EQUAL(std::int64_t{0}, read_runner("i", without_born, 16)->started_at_ms);
   }
 
-  /// One entry held a byte that is no UTF-8: the whole page was given up, with all runners in it.
+  /// Guards against discarding a whole page with all its runners when one entry contains a byte
+  /// that is not UTF-8.
   void invalid_bytes_affect_only_their_entry() {
     FetchResult result;
     result.status = 200;
--- a/tests/platform/watch_continuity_test.cpp
+++ b/tests/platform/watch_continuity_test.cpp
@@ -4,8 +4,8 @@
 
 namespace pumicemast::platform {
 
-/// Requests began on old weights beyond their time: a version that the first answer after a loss
-/// told was taken as named at that moment.
+/// Guards against requests that start on outdated weights: a version delivered by the first
+/// response after an interruption was taken as named at that moment.
 class WatchContinuityTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(WatchContinuityTest);
   CPPUNIT_TEST(before_the_first_response_event_age_is_unbounded);
@@ -31,7 +31,7 @@
     watch_.on_failed(at(17));
     CPPUNIT_ASSERT(watch_.maximum_event_age(at(18)) == seconds(4));
     watch_.on_answer(at(18));
-    watch_.on_failed(at(19));  // Not before what the last answer told.
+    watch_.on_failed(at(19));  // Not before the time of the last response.
     CPPUNIT_ASSERT(watch_.maximum_event_age(at(20)) == seconds(2));
   }
 
