--- a/tests/admission/first_token_model_test.cpp
+++ b/tests/admission/first_token_model_test.cpp
@@ -4,7 +4,8 @@
 
 namespace pumicemast {
 
-/// The engine of these tests reads 20 tokens a millisecond and plays 5 steps of 10 ms in a pass.
+/// The engine of these tests prefills 20 tokens per millisecond and runs 5 decode steps of 10 ms in
+/// a pass.
 class FirstTokenModelTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FirstTokenModelTest);
   CPPUNIT_TEST(an_idle_engine_prefills_at_once);
@@ -41,7 +42,7 @@
 
   void a_prompt_joins_a_running_batch_between_passes() {
     load.running = 4;
-    // Half of the pass in play, the reading, the pass whose end brings the first event.
+    // Half of the current pass, the prefill, and the pass at whose end the first event leaves.
     CPPUNIT_ASSERT_DOUBLES_EQUAL(25 + 50 + 50, predict(1000), kExact);
   }
 
--- a/tests/admission/overload_test.cpp
+++ b/tests/admission/overload_test.cpp
@@ -6,7 +6,7 @@
 
 namespace pumicemast {
 
-/// What callers get when more come than the engines can serve.
+/// The service that callers get when more requests arrive than the engines can serve.
 class OverloadTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(OverloadTest);
   CPPUNIT_TEST(within_capacity_nearly_all_are_answered_in_time);
@@ -42,8 +42,8 @@
     }
   }
 
-  /// Gateways that take engines for three times slower readers than they are turn large requests
-  /// away first; a world that did not show it would prove nothing above.
+  /// Gateways that assume a third of the engines' real prefill rate refuse large requests first. If
+  /// the simulation did not show this, the tests above would prove nothing.
   void a_wrong_prefill_rate_hurts_large_requests() {
     tests::OverloadOptions options;
     options.load = 1.3;
@@ -81,8 +81,8 @@
     CPPUNIT_ASSERT(result.all.late * 20 <= result.all.in_time);
   }
 
-  /// First attempts that state anything within a second hid those that come back: nobody was held
-  /// to return, and late answers took the room of answers in time.
+  /// Guards against unrecognized retries: when the deadlines of first attempts varied within a
+  /// second, no request was taken for a retry, and late answers took capacity from answers in time.
   void retries_are_recognized_when_deadlines_vary() {
     for (const double load : {1.3, 2.0}) {
       tests::OverloadOptions options;
--- a/tests/admission/retry_estimator_test.cpp
+++ b/tests/admission/retry_estimator_test.cpp
@@ -29,7 +29,7 @@
   Duration between(std::int64_t least_ms, std::int64_t most_ms) {
     return milliseconds(std::uniform_int_distribution<std::int64_t>(least_ms, most_ms)(random_));
   }
-  /// A first attempt that states any time within a second.
+  /// Whether a first attempt with any deadline within a second is taken for a retry.
   bool first_attempt_is_mistaken(std::int64_t least_ms) {
     const Duration stated = between(least_ms, least_ms + 1000);
     const bool mistaken = estimator.estimated_wait("chat", stated) > Duration::zero();
@@ -89,7 +89,7 @@
     for (int round = 0; round < 3000; ++round) {
       mistaken += first_attempt_is_mistaken(5000) ? 1 : 0;
       if (round % 4 != 0) continue;
-      // One in four is refused here, and as many return here that any gateway has refused.
+      // One in four is refused here, and as many callers retry here after a refusal by any gateway.
       estimator.on_retry_advised("chat", between(3400, 4700), milliseconds(1400));
       if (round < 400) continue;
       const Duration stated = between(3400, 4700) - milliseconds(30);
@@ -107,15 +107,15 @@
     for (int round = 0; round < 3000; ++round) {
       mistaken += first_attempt_is_mistaken(5000) ? 1 : 0;
       mistaken += first_attempt_is_mistaken(2000) ? 1 : 0;
-      // Some of either are refused, and come back.
+      // Some callers of either group are refused and retry.
       if (round % 10 != 0) continue;
       for (const std::int64_t least_ms : {3400, 1300}) {
         estimator.on_retry_advised("chat", between(least_ms, least_ms + 1000), milliseconds(1400));
         estimator.on_request("chat", between(least_ms, least_ms + 1000));
       }
     }
-    // Where those who return state what others begin with, they are fewer: all are held to be
-    // first.
+    // Where retries state the same deadlines as first attempts of the other group, they are the
+    // minority: all count as first attempts.
     CPPUNIT_ASSERT_EQUAL(0, mistaken);
   }
 
@@ -124,11 +124,12 @@
     for (int round = 0; round < 3000; ++round) {
       mistaken += first_attempt_is_mistaken(5000) ? 1 : 0;
       mistaken += first_attempt_is_mistaken(3400) ? 1 : 0;
-      // One in five of the first group is told to come back at times at which others begin.
+      // One in five of the first group is told to retry at a moment when it will state a deadline
+      // with which first attempts of the second group start.
       if (round % 5 == 0)
         estimator.on_retry_advised("chat", between(3400, 4400), milliseconds(1400));
     }
-    // One in a thousand, by chance.
+    // Chance mistakes: one in a thousand.
     CPPUNIT_ASSERT(mistaken <= 6);
   }
 };
--- a/tests/limits/permit_issuer_test.cpp
+++ b/tests/limits/permit_issuer_test.cpp
@@ -41,7 +41,7 @@
     now += milliseconds(1100);
     CPPUNIT_ASSERT(ask({}, {}).granted);
     CPPUNIT_ASSERT(!ask({}, {}).granted);
-    // A pause does not add up.
+    // Unused permits do not accumulate during a pause.
     now += seconds(60);
     CPPUNIT_ASSERT(ask({}, {}).granted && ask({}, {}).granted && !ask({}, {}).granted);
   }
@@ -63,17 +63,17 @@
     issuer.on_request({"e1", 1, now, false, 0, {}, {asked_at}, gateway}, now);
   }
 
-  // A gateway was cut off as its permit came: the permit was lost for good.
+  // Guards against losing a permit for good when its gateway is disconnected as the permit arrives.
   void a_permit_given_back_is_granted_again_once() {
     ask(1, now);
     now += milliseconds(1100);
     CPPUNIT_ASSERT(ask_as(7).granted);
-    give_back(8, now);  // Another gateway's asking of the same moment.
+    give_back(8, now);  // Another gateway's request at the same time.
     CPPUNIT_ASSERT(!ask_as(8).granted);
     give_back(7, now);
     give_back(7, now);
     CPPUNIT_ASSERT(ask_as(8).granted && !ask_as(8).granted);
-    // One that was denied brings nothing.
+    // Giving back a request that was denied adds no permit.
     give_back(8, now - seconds(1));
     CPPUNIT_ASSERT(!ask_as(8).granted);
   }
@@ -84,7 +84,7 @@
     std::minstd_rand random(1);
     ask(kRate, now);
     std::vector<TimePoint> used;
-    std::vector<std::pair<TimePoint, TimePoint>> unused;  // Asked at, to be given back at.
+    std::vector<std::pair<TimePoint, TimePoint>> unused;  // Requested at, to be given back at.
     for (int step = 0; step < 20000; ++step) {
       now += milliseconds(static_cast<std::int64_t>(1 + random() % 700));
       std::erase_if(unused, [&](const auto& permit) {
--- a/tests/limits/tenant_limiter_test.cpp
+++ b/tests/limits/tenant_limiter_test.cpp
@@ -44,7 +44,7 @@
     for (std::int64_t ms = 0; ms < 10000; ms += 10) {
       if (limiter.admit("t", at(ms)).admitted) ++admitted;
     }
-    // A quarter of 40 a second over 10 s, and a quarter of the burst.
+    // A quarter of 40 requests per second over 10 s, plus a quarter of the burst.
     CPPUNIT_ASSERT(admitted >= 108 && admitted <= 110);
   }
 
--- a/tests/limits/token_bucket_test.cpp
+++ b/tests/limits/token_bucket_test.cpp
@@ -11,11 +11,12 @@
   CPPUNIT_TEST(idle_time_is_saved_up_only_to_the_burst);
   CPPUNIT_TEST_SUITE_END();
 
-  static constexpr double kRate = 775000;  // Bytes a second: 0.85 of 7.3 Mbit/s.
+  static constexpr double kRate = 775000;  // Bytes per second: 0.85 of 7.3 Mbit/s.
   static constexpr double kChunk = 24576;
 
-  /// Sends chunks into debt for a second, each timer late by `lateness`, as an uplink's pacer does.
-  /// @return how many were sent.
+  /// Sends chunks into debt for one second, with each timer late by `lateness`, like the pacer of
+  /// an uplink.
+  /// @return the number of chunks sent.
   static int chunks_per_second(double burst, Duration lateness) {
     TokenBucket bucket(kRate, burst);
     TimePoint now{seconds(100)};
@@ -47,7 +48,7 @@
     bucket.take_into_debt(kChunk, now);
     now += seconds(60);
     bucket.take_into_debt(kChunk, now);
-    // A chunk takes 31.7 ms of the link; 20 ms of them were saved up.
+    // A chunk occupies the link for 31.7 ms, of which 20 ms were saved up.
     CPPUNIT_ASSERT(bucket.time_until(0, now) >= milliseconds(11));
   }
 };
