--- a/src/admission/first_token_model.cpp
+++ b/src/admission/first_token_model.cpp
@@ -41,8 +41,8 @@
   const double attention_ms =
       prompt_tokens * prompt_tokens / 2 / kMillion * engine.attention_ms_per_million_pairs;
   // Each step of a pass prefills up to this many prompt tokens.
-  const double tokens_per_pass =
-      static_cast<double>(std::max(1U, engine.prompt_chunk)) * std::max(1U, engine.steps_per_pass);
+  const double tokens_per_pass = static_cast<double>(std::max(1U, engine.prefill_chunk_tokens)) *
+                                 std::max(1U, engine.steps_per_pass);
   const bool engine_busy = load.running > 0 || load.pending_tokens > 0;
   const double passes =
       engine_busy ? kRemainingPassShare + std::ceil(tokens_to_read / tokens_per_pass) : 0;
--- a/src/admission/overload_detector.h
+++ b/src/admission/overload_detector.h
@@ -17,7 +17,7 @@
   void on_avoidable_refusal(const std::string& service, TimePoint now) {
     last_refusal_[service] = now;
   }
-  bool overloaded(const std::string& service, TimePoint now) const {
+  bool is_overloaded(const std::string& service, TimePoint now) const {
     const auto found = last_refusal_.find(service);
     return found != last_refusal_.end() && now - found->second < kOverloadMemory;
   }
--- a/src/fleet/backend_list.h
+++ b/src/fleet/backend_list.h
@@ -15,14 +15,14 @@
 
 struct BackendChange {
   BackendRecord record;
-  bool gone = false;  ///< If set, only the record's id and revision are valid.
+  bool removed = false;  ///< If set, only the record's id and revision are valid.
 };
 
 /// The difference between the list of one revision and that of a later one.
 struct BackendChanges {
   std::uint64_t base = 0;
   std::uint64_t revision = 0;
-  bool whole = false;  ///< The entries are the complete list and replace what was known.
+  bool complete = false;  ///< The entries are the complete list and replace what was known.
   std::vector<BackendChange> entries;
 };
 
@@ -42,12 +42,12 @@
   /// When the result is `apply`, the changes count as known from now on.
   Step on_changes(const BackendChanges& changes) {
     if (changes.revision <= revision_) return Step::ignore;
-    if (!changes.whole && changes.base > revision_) return Step::request_full_list;
+    if (!changes.complete && changes.base > revision_) return Step::request_full_list;
     revision_ = changes.revision;
     return Step::apply;
   }
   /// Whether a list of `revision`, which another process has, is newer than the one known here.
-  bool lacks(std::uint64_t revision) const { return revision > revision_; }
+  bool is_behind(std::uint64_t revision) const { return revision > revision_; }
   std::uint64_t revision() const { return revision_; }
 
  private:
--- a/src/fleet/backend_record.h
+++ b/src/fleet/backend_record.h
@@ -47,7 +47,7 @@
   double slowdown = 1;       ///< Measured time over the profile's time; above 1 the engine is slow.
   std::uint32_t credit = 0;  ///< New requests that may be sent until the next report.
   /// Prompt tokens of other gateways' requests that the engine has not read yet.
-  std::uint32_t others_unread_tokens = 0;
+  std::uint32_t others_pending_tokens = 0;
   /// Time from the report until the engine leaves service to change weights; empty if not planned.
   std::optional<Duration> leaves_in;
   std::uint32_t gateways = 0;  ///< Gateways that the agent sends reports to.
--- a/src/fleet/feeds.h
+++ b/src/fleet/feeds.h
@@ -24,7 +24,7 @@
   virtual void on_backend_list(const std::vector<BackendRecord>& records,
                                std::uint64_t revision) = 0;
   virtual void on_backend(const BackendRecord& record) = 0;
-  virtual void on_backend_gone(const std::string& id, std::uint64_t revision) = 0;
+  virtual void on_backend_removed(const std::string& id, std::uint64_t revision) = 0;
   /// The back ends reported so far make up the list of this revision.
   virtual void on_backends_current(std::uint64_t revision) = 0;
   /// Operators have named the weight version that a model is to serve.
--- a/src/fleet/fleet_configuration.h
+++ b/src/fleet/fleet_configuration.h
@@ -34,9 +34,9 @@
   std::string path_prefix;
   RequestKind kind = RequestKind::not_repeatable;
   Duration timeout = seconds(30);
-  Duration goal = seconds(1);      ///< Limit for an answer, or a first event, to be in time.
-  Duration gap_goal = seconds(1);  ///< Longest pause between a stream's events to be in time.
-  int priority = 0;                ///< 0 is the most urgent.
+  Duration latency_goal = seconds(1);  ///< Limit for an answer, or a first event, to be in time.
+  Duration gap_goal = seconds(1);      ///< Longest pause between a stream's events to be in time.
+  int priority = 0;                    ///< 0 is the most urgent.
   std::vector<WeightedService> services;
   std::uint32_t attempts = 1;  ///< Maximum number of back ends that one request is sent to.
   bool is_public = false;      ///< Needs no API key.
@@ -58,11 +58,11 @@
   double prompt_tokens_per_s = 10000;
   /// Attention cost: added per million pairs of a prompt token and an earlier one.
   double attention_ms_per_million_pairs = 0;
-  std::uint32_t prompt_chunk = 2048;  ///< Maximum number of prompt tokens prefilled in one step.
+  std::uint32_t prefill_chunk_tokens = 2048;  ///< Prompt tokens prefilled per step, at most.
   std::uint32_t steps_per_pass = 1;
   double usual_prompt_tokens = 1000;
   double usual_answer_tokens = 100;
-  double memory_tokens = 0;
+  double kv_capacity_tokens = 0;
   std::uint32_t layers = 1;
   std::uint32_t chunk_count = 0;
   std::uint32_t chunk_bytes = 0;
--- a/src/gateway/backends/backend_choice.cpp
+++ b/src/gateway/backends/backend_choice.cpp
@@ -42,7 +42,7 @@
     load.slowdown = std::max(1.0, backend.report.slowdown);
     load.running = backend.report.running;
     load.waiting = backend.report.queued + static_cast<double>(backend.sent.size());
-    load.pending_tokens = backend.unread_prompt_tokens + backend.report.others_unread_tokens;
+    load.pending_tokens = backend.unread_prompt_tokens + backend.report.others_pending_tokens;
   } else {
     load.running = backend.in_flight * options_.gateway_count;
     load.pending_tokens = backend.unread_prompt_tokens * options_.gateway_count;
--- a/src/gateway/backends/backend_pool.cpp
+++ b/src/gateway/backends/backend_pool.cpp
@@ -139,7 +139,7 @@
 void BackendPool::on_others_backlog(const Address& address, std::uint32_t unread_tokens) {
   const auto id = ids_by_address_.find(address);
   if (id == ids_by_address_.end()) return;
-  if (Backend* backend = find(id->second)) backend->report.others_unread_tokens = unread_tokens;
+  if (Backend* backend = find(id->second)) backend->report.others_pending_tokens = unread_tokens;
 }
 
 void BackendPool::on_path_delay(const Address& address, Duration delay, TimePoint now) {
--- a/src/gateway/peers/backend_list_relay.cpp
+++ b/src/gateway/peers/backend_list_relay.cpp
@@ -18,7 +18,7 @@
   BackendChange change;
   change.record.id = id;
   change.record.revision = revision;
-  change.gone = true;
+  change.removed = true;
   changes_.push_back(std::move(change));
 }
 
@@ -31,7 +31,7 @@
 }
 
 bool BackendListRelay::should_ask(std::uint64_t revision, TimePoint now) {
-  if (!follower_.lacks(revision) || now < next_ask_) return false;
+  if (!follower_.is_behind(revision) || now < next_ask_) return false;
   next_ask_ = now + kAskInterval;
   return true;
 }
--- a/src/gateway/peers/fleet_links.cpp
+++ b/src/gateway/peers/fleet_links.cpp
@@ -368,7 +368,7 @@
   report.weight_version = message.weight_version();
   report.slowdown = message.pace();
   report.credit = message.credit();
-  report.others_unread_tokens = message.others_unread_tokens();
+  report.others_pending_tokens = message.others_unread_tokens();
   report.gateways = message.gateways();
   report.largest_zone_gateways = message.largest_zone_gateways();
   report.started_at_ms = message.started_at_ms();
--- a/src/gateway/peers/fleet_state.cpp
+++ b/src/gateway/peers/fleet_state.cpp
@@ -179,7 +179,7 @@
   list_relay_.on_record(record);
 }
 
-void FleetState::on_backend_gone(const std::string& id, std::uint64_t revision) {
+void FleetState::on_backend_removed(const std::string& id, std::uint64_t revision) {
   note_gone(id, revision);
   list_relay_.on_gone(id, revision);
 }
@@ -202,13 +202,13 @@
   const Step step = list_relay_.on_changes(changes);
   if (step == Step::request_full_list) on_list_revision_told(gateway, changes.revision);
   if (step != Step::apply) return;
-  if (changes.whole) {
+  if (changes.complete) {
     std::vector<BackendRecord> records;
     for (const BackendChange& entry : changes.entries) records.push_back(entry.record);
     note_backend_list(records, changes.revision);
   } else {
     for (const BackendChange& entry : changes.entries) {
-      if (entry.gone) {
+      if (entry.removed) {
         note_gone(entry.record.id, entry.record.revision);
       } else {
         note_backend(entry.record);
@@ -238,7 +238,7 @@
 
 bool FleetState::concerns_agents(const BackendChange& change) const {
   // Of what is gone only the id is known.
-  if (change.gone || !routes_) return true;
+  if (change.removed || !routes_) return true;
   const ServiceProfile* service = routes_->service(change.record.service);
   return service == nullptr || service->engine.has_value();
 }
--- a/src/gateway/peers/fleet_state.h
+++ b/src/gateway/peers/fleet_state.h
@@ -71,7 +71,7 @@
   void on_configuration(FleetConfiguration configuration, const std::string& document) override;
   void on_backend_list(const std::vector<BackendRecord>& records, std::uint64_t revision) override;
   void on_backend(const BackendRecord& record) override;
-  void on_backend_gone(const std::string& id, std::uint64_t revision) override;
+  void on_backend_removed(const std::string& id, std::uint64_t revision) override;
   void on_backends_current(std::uint64_t revision) override;
   void on_weights_named(const std::string& model, std::uint64_t version, Duration oldest) override;
   void on_list_reachable(bool reachable) override;
--- a/src/gateway/requests/attempt_watch.cpp
+++ b/src/gateway/requests/attempt_watch.cpp
@@ -15,7 +15,8 @@
 }
 
 Duration AttemptWatch::longest_silence(const RequestSession& session, TimePoint now) const {
-  if (session.route->kind != RequestKind::stream) return session.route->goal * kPlainSilenceGoals;
+  if (session.route->kind != RequestKind::stream)
+    return session.route->latency_goal * kPlainSilenceGoals;
   return pool_.known_alive(session.backend, now) ? options_.healthy_silence
                                                  : options_.doubtful_silence;
 }
--- a/src/gateway/requests/request_forwarder.cpp
+++ b/src/gateway/requests/request_forwarder.cpp
@@ -89,7 +89,7 @@
 
 bool RequestForwarder::must_yield(const RequestSession& session, TimePoint now) const {
   return session.returning && session.service->engine &&
-         overload_.overloaded(session.service->name, now);
+         overload_.is_overloaded(session.service->name, now);
 }
 
 bool RequestForwarder::dispatch(RequestNumber number, RequestSession& session, TimePoint now,
--- a/src/gateway/requests/request_planner.cpp
+++ b/src/gateway/requests/request_planner.cpp
@@ -34,7 +34,7 @@
   const Duration waited = retry_estimator_.estimated_wait(group, stated);
   retry_estimator_.on_request(group, stated);
   session.first_asked = session.arrived - waited;
-  session.returning = waited >= scaled(session.route->goal, kReturningShare);
+  session.returning = waited >= scaled(session.route->latency_goal, kReturningShare);
 }
 
 void RequestPlanner::plan_times(RequestSession& session) {
@@ -42,7 +42,7 @@
   const Duration stated = session.request.time_left;
   const Duration time_left = stated > Duration::zero() ? stated : kUnstatedTimeLeft;
   session.deadline = session.arrived + std::min(time_left, session.route->timeout);
-  session.wait_until = session.arrived + scaled(session.route->goal, options_.wait_share);
+  session.wait_until = session.arrived + scaled(session.route->latency_goal, options_.wait_share);
 }
 
 BackendNeed RequestPlanner::need_of(const RequestSession& session, TimePoint now) const {
@@ -58,7 +58,7 @@
 }
 
 double RequestPlanner::admission_limit_ms(const RequestSession& session, TimePoint now) const {
-  const double goal_ms = to_fractional_milliseconds(session.route->goal);
+  const double goal_ms = to_fractional_milliseconds(session.route->latency_goal);
   // What has begun is worth finishing, also late.
   if (session.sends > 0) return to_fractional_milliseconds(session.deadline - now);
   const TimePoint since = session.returning ? session.arrived : session.first_asked;
--- a/src/gateway/requests/request_session.cpp
+++ b/src/gateway/requests/request_session.cpp
@@ -62,8 +62,8 @@
   summary.waited = (first_sent == TimePoint{} ? now : first_sent) - arrived;
   if (first_event != TimePoint{}) {
     summary.first_event = first_event - arrived;
-    summary.in_time =
-        route != nullptr && summary.first_event <= route->goal && longest_gap <= route->gap_goal;
+    summary.in_time = route != nullptr && summary.first_event <= route->latency_goal &&
+                      longest_gap <= route->gap_goal;
   }
   summary.longest_gap = longest_gap;
   summary.total = now - arrived;
--- a/src/host/engine_list.cpp
+++ b/src/host/engine_list.cpp
@@ -25,9 +25,9 @@
 BackendListFollower::Step EngineList::on_changes(const BackendChanges& changes) {
   const BackendListFollower::Step step = follower_.on_changes(changes);
   if (step != BackendListFollower::Step::apply) return step;
-  if (changes.whole) records_.clear();
+  if (changes.complete) records_.clear();
   for (const BackendChange& entry : changes.entries) {
-    if (entry.gone) {
+    if (entry.removed) {
       records_.erase(entry.record.id);
     } else {
       records_[entry.record.id] = entry.record;
@@ -38,7 +38,7 @@
 
 bool EngineList::on_reader_heard(std::uint64_t revision, TimePoint now) {
   reader_heard_at_ = now;
-  if (!follower_.lacks(revision) || now < next_ask_) return false;
+  if (!follower_.is_behind(revision) || now < next_ask_) return false;
   next_ask_ = now + kAskInterval;
   return true;
 }
--- a/src/host/host_daemon.cpp
+++ b/src/host/host_daemon.cpp
@@ -127,7 +127,7 @@
 void HostDaemon::on_engine_profile(const EngineProfile& profile, const OriginProfile& origin) {
   if (!origin_) origin_ = origin_factory_->make(origin);
   room_.slots = profile.slots;
-  room_.prompt_chunk = profile.prompt_chunk;
+  room_.prompt_chunk = profile.prefill_chunk_tokens;
   room_.usual_prompt = profile.usual_prompt_tokens;
   engine_->set_layer_count(profile.layers);
   for (const ModelProfile& model : profile.models) {
--- a/src/transport/backend_list_messages.cpp
+++ b/src/transport/backend_list_messages.cpp
@@ -11,8 +11,8 @@
   auto entry = std::make_unique<wire::BackendEntryT>();
   entry->id = change.record.id;
   entry->revision = change.record.revision;
-  entry->gone = change.gone;
-  if (change.gone) return entry;
+  entry->gone = change.removed;
+  if (change.removed) return entry;
   entry->service = change.record.service;
   entry->address = change.record.address.to_string();
   entry->zone = change.record.zone;
@@ -29,7 +29,7 @@
   wire::BackendChangesT message;
   message.base = changes.base;
   message.revision = changes.revision;
-  message.whole = changes.whole;
+  message.whole = changes.complete;
   for (const BackendChange& change : changes.entries) message.entries.push_back(encode(change));
   return message;
 }
@@ -38,14 +38,14 @@
   BackendChanges changes;
   changes.base = message.base();
   changes.revision = message.revision();
-  changes.whole = message.whole();
+  changes.complete = message.whole();
   if (message.entries() == nullptr) return changes;
   for (const wire::BackendEntry* entry : *message.entries()) {
     BackendChange change;
     change.record.id = entry->id()->str();
     change.record.revision = entry->revision();
-    change.gone = entry->gone();
-    if (!change.gone) {
+    change.removed = entry->gone();
+    if (!change.removed) {
       const auto address = parse_address(text_of(entry->address()));
       if (!address) {
         LOG(WARNING) << "backend id=" << change.record.id << " state=LEFT_OUT reason=address";
--- a/tests/admission/first_token_model_test.cpp
+++ b/tests/admission/first_token_model_test.cpp
@@ -33,7 +33,7 @@
     engine.step_ms = 10;
     engine.steps_per_pass = 5;
     engine.prompt_tokens_per_s = 20000;
-    engine.prompt_chunk = 2000;
+    engine.prefill_chunk_tokens = 2000;
   }
 
   void an_idle_engine_prefills_at_once() {
--- a/tests/gateway/backends/backend_pool_test.cpp
+++ b/tests/gateway/backends/backend_pool_test.cpp
@@ -386,7 +386,7 @@
       load.weight_version = 1;
       load.running = running;
       load.leaves_in = leaves_in;
-      load.others_unread_tokens = running * 1000;
+      load.others_pending_tokens = running * 1000;
       world.pool.on_report({"127.0.0.1", port}, load, world.now);
     };
     report(1, 0, first_leaves);
--- a/tests/gateway/peers/backend_list_relay_test.cpp
+++ b/tests/gateway/peers/backend_list_relay_test.cpp
@@ -68,11 +68,11 @@
     const BackendChanges told = over_the_wire(*changes);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, told.base);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{12}, told.revision);
-    CPPUNIT_ASSERT(!told.whole);
+    CPPUNIT_ASSERT(!told.complete);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, told.entries.size());
     CPPUNIT_ASSERT_EQUAL(std::string("a"), told.entries[0].record.id);
     CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:80"), told.entries[0].record.address.to_string());
-    CPPUNIT_ASSERT(told.entries[1].gone);
+    CPPUNIT_ASSERT(told.entries[1].removed);
     CPPUNIT_ASSERT(!reader.on_current(12));
   }
 
--- a/tests/support/crash_world.cpp
+++ b/tests/support/crash_world.cpp
@@ -87,7 +87,7 @@
   route.kind = RequestKind::stream;
   route.resumable = true;
   route.timeout = seconds(6);
-  route.goal = milliseconds(400);
+  route.latency_goal = milliseconds(400);
   route.gap_goal = milliseconds(400);
   route.services = {{"engines", 1}};
   route.attempts = options_.attempts;
--- a/tests/support/gateway_world.h
+++ b/tests/support/gateway_world.h
@@ -165,7 +165,7 @@
     rule.path_prefix = prefix;
     rule.kind = kind;
     rule.timeout = seconds(6);
-    rule.goal = milliseconds(400);
+    rule.latency_goal = milliseconds(400);
     rule.gap_goal = milliseconds(400);
     rule.services = {{service, 1}};
     rule.attempts = attempts;
--- a/tests/support/limited_fleet.cpp
+++ b/tests/support/limited_fleet.cpp
@@ -24,7 +24,7 @@
   route.path_prefix = "/";
   route.kind = RequestKind::repeatable;
   route.timeout = seconds(6);
-  route.goal = milliseconds(500);
+  route.latency_goal = milliseconds(500);
   route.services = {{"engines", 1}};
   route.attempts = 2;
   route.is_public = true;
--- a/tests/support/overload_world.cpp
+++ b/tests/support/overload_world.cpp
@@ -33,7 +33,7 @@
   profile.step_ms_per_slot = 0.0219;
   profile.prompt_tokens_per_s = 30600;
   profile.steps_per_pass = 6;
-  profile.prompt_chunk = 2048;
+  profile.prefill_chunk_tokens = 2048;
   profile.usual_prompt_tokens = kUsualPrompt;
   profile.usual_answer_tokens = kUsualAnswer;
   return profile;
@@ -144,7 +144,7 @@
     route.resumable = true;
     route.is_public = true;
     route.timeout = kPatience;
-    route.goal = milliseconds(kind.goal_ms);
+    route.latency_goal = milliseconds(kind.goal_ms);
     route.attempts = 2;
     route.services = {{"engines", 1}};
     result.routes.push_back(route);
@@ -299,7 +299,7 @@
       load.queued = engine->model.queued();
       load.weight_version = 1;
       load.credit = credit;
-      load.others_unread_tokens = engine->dealer.unread_of_others(gateway);
+      load.others_pending_tokens = engine->dealer.unread_of_others(gateway);
       gateways_[gateway]->pool.on_report(engine->address, load, now_);
     }
   }
