--- a/src/gateway/backends/backend_limits.cpp
+++ b/src/gateway/backends/backend_limits.cpp
@@ -21,7 +21,7 @@
   return "unknown";
 }
 
-void BackendLimits::on_response(const std::string& backend, const StatedRateLimit& stated,
+void BackendLimits::on_response(const std::string& backend, const ResponseRateLimit& stated,
                                 bool served, TimePoint sent_at, TimePoint now) {
   if (!stated.readable) {
     ++unreadable_;
@@ -33,7 +33,7 @@
     return;
   }
   const RateLimit known = limit_of(backend);
-  if (!known.named() || !served) return;
+  if (!known.is_limited() || !served) return;
   const bool sent_later = sent_at > known.observed_at;
   if (sent_later && now - known.observed_at >= kLimitRemovalDelay)
     update_limit(backend, {{}, now}, LimitSource::answer);
@@ -46,7 +46,7 @@
 
 void BackendLimits::update_limit(const std::string& backend, const RateLimit& limit,
                                  LimitSource source) {
-  if (!limit.named() && !trackers_.contains(backend)) return;
+  if (!limit.is_limited() && !trackers_.contains(backend)) return;
   if (trackers_[backend].on_observed(limit)) changes_.push_back({backend, limit, source});
 }
 
@@ -58,7 +58,7 @@
 std::vector<std::string> BackendLimits::limited() const {
   std::vector<std::string> backends;
   for (const auto& [backend, tracker] : trackers_) {
-    if (tracker.limit().named()) backends.push_back(backend);
+    if (tracker.limit().is_limited()) backends.push_back(backend);
   }
   return backends;
 }
--- a/src/gateway/backends/backend_limits.h
+++ b/src/gateway/backends/backend_limits.h
@@ -31,19 +31,19 @@
   /// @param served   whether the back end ran the request: a refusal that states no limit does not
   ///                 show that a limit has ended.
   /// @param sent_at  when the request was sent.
-  void on_response(const std::string& backend, const StatedRateLimit& stated, bool served,
+  void on_response(const std::string& backend, const ResponseRateLimit& stated, bool served,
                    TimePoint sent_at, TimePoint now);
   /// Handles an observation by the back end's agent or by another gateway: a limit, or none.
   void on_reported(const std::string& backend, const RateLimit& limit, LimitSource source);
   /// Call when the back end was removed or restarted.
   void forget(const std::string& backend) { trackers_.erase(backend); }
 
-  bool limited(const std::string& backend) const { return limit_of(backend).named(); }
+  bool limited(const std::string& backend) const { return limit_of(backend).is_limited(); }
   RateLimit limit_of(const std::string& backend) const;
   /// Back ends that currently state a limit.
   std::vector<std::string> limited() const;
   /// The limits known by id, including those of back ends whose limit has ended.
-  const std::map<std::string, RateLimitBelief>& trackers() const { return trackers_; }
+  const std::map<std::string, RateLimitTracker>& trackers() const { return trackers_; }
   /// Returns the changes since the last call.
   std::vector<LimitChange> take_changes();
   /// Number of responses whose stated limit is not a number of requests; these are ignored.
@@ -52,7 +52,7 @@
  private:
   void update_limit(const std::string& backend, const RateLimit& limit, LimitSource source);
 
-  std::map<std::string, RateLimitBelief> trackers_;
+  std::map<std::string, RateLimitTracker> trackers_;
   std::vector<LimitChange> changes_;
   std::uint64_t unreadable_ = 0;
 };
--- a/src/gateway/backends/backend_pool.cpp
+++ b/src/gateway/backends/backend_pool.cpp
@@ -141,7 +141,7 @@
 void BackendPool::on_others_backlog(const Address& address, std::uint32_t pending_tokens) {
   const auto id = ids_by_address_.find(address);
   if (id == ids_by_address_.end()) return;
-  if (Backend* backend = find(id->second)) backend->report.others_unread_tokens = pending_tokens;
+  if (Backend* backend = find(id->second)) backend->report.others_pending_tokens = pending_tokens;
 }
 
 void BackendPool::on_path_delay(const Address& address, Duration delay, TimePoint now) {
@@ -231,7 +231,7 @@
   return found == backends_.end() || found->second.record.draining || found->second.removed;
 }
 
-BackendLife BackendPool::incarnation_of(const std::string& id) const {
+BackendIncarnation BackendPool::incarnation_of(const std::string& id) const {
   const auto found = backends_.find(id);
   return {id, found == backends_.end() ? 0 : found->second.record.started_at_ms};
 }
--- a/src/gateway/backends/backend_pool.h
+++ b/src/gateway/backends/backend_pool.h
@@ -139,7 +139,7 @@
   /// Whether the back end is draining, removed or unknown.
   bool leaving(const std::string& id) const;
   /// The incarnation that the list names for this id.
-  BackendLife incarnation_of(const std::string& id) const;
+  BackendIncarnation incarnation_of(const std::string& id) const;
   /// Whether a back end of `service` has weights of `lowest_version` or newer, at any load.
   bool has_weights(const std::string& service, std::uint64_t lowest_version, TimePoint now) const;
   /// Whether a current report of its agent says that the back end is alive.
--- a/src/gateway/peers/backend_list_relay.cpp
+++ b/src/gateway/peers/backend_list_relay.cpp
@@ -19,7 +19,7 @@
   BackendChange change;
   change.record.id = id;
   change.record.revision = revision;
-  change.gone = true;
+  change.removed = true;
   changes_.push_back(std::move(change));
 }
 
@@ -32,7 +32,7 @@
 }
 
 bool BackendListRelay::should_ask(std::uint64_t revision, TimePoint now) {
-  if (!follower_.lacks(revision) || now < next_request_at_) return false;
+  if (!follower_.is_behind(revision) || now < next_request_at_) return false;
   next_request_at_ = now + kRequestInterval;
   return true;
 }
--- a/src/gateway/peers/contact_search.h
+++ b/src/gateway/peers/contact_search.h
@@ -12,7 +12,7 @@
 #include <variant>
 
 #include "common/time.h"
-#include "fleet/contact_board.h"
+#include "fleet/contact_registry.h"
 
 namespace pumicemast {
 
@@ -40,7 +40,7 @@
 
   /// The call to make to the registry now, if any. on_answer() must follow each call.
   std::optional<ContactAction> next_action(TimePoint now);
-  void on_answer(const ContactBoardAnswer& answer, TimePoint now);
+  void on_answer(const ContactRegistryAnswer& answer, TimePoint now);
   /// A gateway of the zone has advertised that it reads the store.
   void on_reader_seen(TimePoint now) { reader_seen_at_ = now; }
 
--- a/src/gateway/peers/fleet_state.cpp
+++ b/src/gateway/peers/fleet_state.cpp
@@ -180,7 +180,7 @@
   list_relay_.on_record(record);
 }
 
-void FleetState::on_backend_gone(const std::string& id, std::uint64_t revision) {
+void FleetState::on_backend_removed(const std::string& id, std::uint64_t revision) {
   apply_backend_removal(id, revision);
   list_relay_.on_removed(id, revision);
 }
@@ -201,15 +201,15 @@
 void FleetState::on_backend_changes(PeerId gateway, const BackendChanges& changes) {
   using Step = BackendListFollower::Step;
   const Step step = list_relay_.on_changes(changes);
-  if (step == Step::ask_whole) on_list_revision_advertised(gateway, changes.revision);
+  if (step == Step::request_full_list) on_list_revision_advertised(gateway, changes.revision);
   if (step != Step::apply) return;
-  if (changes.whole) {
+  if (changes.complete) {
     std::vector<BackendRecord> records;
     for (const BackendChange& entry : changes.entries) records.push_back(entry.record);
     apply_backend_list(records, changes.revision);
   } else {
     for (const BackendChange& entry : changes.entries) {
-      if (entry.gone) {
+      if (entry.removed) {
         apply_backend_removal(entry.record.id, entry.record.revision);
       } else {
         apply_backend(entry.record);
@@ -239,7 +239,7 @@
 
 bool FleetState::concerns_agents(const BackendChange& change) const {
   // For a removed back end only the id is known, not the service.
-  if (change.gone || !routes_) return true;
+  if (change.removed || !routes_) return true;
   const ServiceProfile* service = routes_->service(change.record.service);
   return service == nullptr || service->engine.has_value();
 }
@@ -313,7 +313,7 @@
 }
 
 void FleetState::log_limit(const LimitChange& change) {
-  const bool named = change.limit.named();
+  const bool named = change.limit.is_limited();
   const std::string rate = named ? std::to_string(*change.limit.per_second) : "-";
   log_.log_line("limit", "backend id=" + change.backend + " limit_per_s=" + rate +
                              " source=" + to_string(change.source) +
--- a/src/gateway/peers/gateway_digest.h
+++ b/src/gateway/peers/gateway_digest.h
@@ -13,7 +13,7 @@
 
 /// The rate limit that a back end states, or that it no longer states one.
 struct AdvertisedLimit {
-  BackendLife backend;
+  BackendIncarnation backend;
   RateLimit limit;
 };
 
--- a/src/gateway/peers/permit_exchange.cpp
+++ b/src/gateway/peers/permit_exchange.cpp
@@ -72,7 +72,7 @@
 }
 
 PermitAnswer PermitExchange::issue(const PermitRequest& request, TimePoint now) {
-  Issuer& issuer = issuers_[BackendLife{request.backend, request.started_at_ms}];
+  Issuer& issuer = issuers_[BackendIncarnation{request.backend, request.started_at_ms}];
   issuer.last_request_at = now;
   return issuer.permits.on_request(request, now);
 }
--- a/src/gateway/peers/store_reader_loop.cpp
+++ b/src/gateway/peers/store_reader_loop.cpp
@@ -7,7 +7,7 @@
 
 }  // namespace
 
-StoreReaderLoop::StoreReaderLoop(const Address& self, PeerId self_id, ContactBoard& registry,
+StoreReaderLoop::StoreReaderLoop(const Address& self, PeerId self_id, ContactRegistry& registry,
                                  Callbacks callbacks)
     : self_(self), registry_(registry), callbacks_(std::move(callbacks)), policy_(self, self_id) {}
 
@@ -38,15 +38,15 @@
 }
 
 void StoreReaderLoop::call(const ReadContact&) {
-  registry_.read([this](const ContactBoardAnswer& answer) { on_answer(answer); });
+  registry_.read([this](const ContactRegistryAnswer& answer) { on_answer(answer); });
 }
 
 void StoreReaderLoop::call(const ClaimContact& action) {
   registry_.claim(self_, action.replaces,
-                  [this](const ContactBoardAnswer& answer) { on_answer(answer); });
+                  [this](const ContactRegistryAnswer& answer) { on_answer(answer); });
 }
 
-void StoreReaderLoop::on_answer(const ContactBoardAnswer& answer) {
+void StoreReaderLoop::on_answer(const ContactRegistryAnswer& answer) {
   policy_.search().on_answer(answer, loop_now());
   update();
 }
--- a/src/gateway/peers/store_reader_loop.h
+++ b/src/gateway/peers/store_reader_loop.h
@@ -19,7 +19,8 @@
     std::function<void(const Address& gateway)> on_contact;
   };
 
-  StoreReaderLoop(const Address& self, PeerId self_id, ContactBoard& registry, Callbacks callbacks);
+  StoreReaderLoop(const Address& self, PeerId self_id, ContactRegistry& registry,
+                  Callbacks callbacks);
   void start();
   /// A gateway of the same zone advertises whether it is a store reader and reaches the store.
   void on_reader_status(PeerId gateway, bool reads);
@@ -31,10 +32,10 @@
   void search();
   void call(const ReadContact& action);
   void call(const ClaimContact& action);
-  void on_answer(const ContactBoardAnswer& answer);
+  void on_answer(const ContactRegistryAnswer& answer);
 
   Address self_;
-  ContactBoard& registry_;
+  ContactRegistry& registry_;
   Callbacks callbacks_;
   StoreReaderPolicy policy_;
   bool reads_ = false;
--- a/src/gateway/quarantine/crash_correlator.cpp
+++ b/src/gateway/quarantine/crash_correlator.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-void CrashCorrelator::on_response_interrupted(const BackendLife& backend,
+void CrashCorrelator::on_response_interrupted(const BackendIncarnation& backend,
                                               const RequestFingerprint& request, TimePoint now) {
   const auto exited = exited_.find(backend.id);
   if (exited != exited_.end() && now - exited->second <= kConfirmationTimeout) {
--- a/src/gateway/quarantine/crash_correlator.h
+++ b/src/gateway/quarantine/crash_correlator.h
@@ -19,7 +19,7 @@
 
 /// The exit of a back end's process while these requests were running there.
 struct BackendCrash {
-  BackendLife backend;
+  BackendIncarnation backend;
   TimePoint at{};
   std::vector<RequestFingerprint> requests;
   /// Several back ends exited at about the same time, possibly for a common cause.
@@ -29,7 +29,7 @@
 class CrashCorrelator {
  public:
   /// An attempt of a request ended before its response was complete.
-  void on_response_interrupted(const BackendLife& backend, const RequestFingerprint& request,
+  void on_response_interrupted(const BackendIncarnation& backend, const RequestFingerprint& request,
                                TimePoint now);
   /// The back end's process exited, with or without requests running.
   void on_process_exit(const std::string& backend, TimePoint now);
@@ -43,7 +43,7 @@
 
  private:
   struct InterruptedResponse {
-    BackendLife backend;
+    BackendIncarnation backend;
     RequestFingerprint request;
     TimePoint at{};
   };
--- a/src/gateway/requests/attempt_monitor.cpp
+++ b/src/gateway/requests/attempt_monitor.cpp
@@ -16,7 +16,7 @@
 
 Duration AttemptMonitor::silence_timeout(const RequestSession& session, TimePoint now) const {
   if (session.route->kind != RequestKind::stream)
-    return session.route->goal * kPlainSilenceGoalMultiple;
+    return session.route->latency_goal * kPlainSilenceGoalMultiple;
   return pool_.known_alive(session.backend, now) ? options_.healthy_silence_timeout
                                                  : options_.unconfirmed_silence_timeout;
 }
--- a/src/gateway/requests/forwarder_actions.h
+++ b/src/gateway/requests/forwarder_actions.h
@@ -37,7 +37,7 @@
   bool not_run = false;   ///< States that the back end did not and never will run the request.
   bool replaced = false;  ///< Another incarnation of the back end is using the address.
   bool success = false;
-  StatedRateLimit rate_limit;
+  ResponseRateLimit rate_limit;
 };
 
 enum class RefusalReason {
--- a/src/gateway/requests/request_authorizer.cpp
+++ b/src/gateway/requests/request_authorizer.cpp
@@ -40,7 +40,7 @@
   if (tenant != nullptr) {
     result.tenant = tenant->name;
     result.priority = tenant->priority.value_or(result.route->priority);
-  } else if (routes->has_tenants() && !result.route->open_to_all) {
+  } else if (routes->has_tenants() && !result.route->is_public) {
     result.refusal = {kStatusUnauthorized, RefusalReason::no_key};
     return result;
   }
--- a/src/gateway/requests/request_forwarder.h
+++ b/src/gateway/requests/request_forwarder.h
@@ -21,7 +21,7 @@
 #include <string>
 #include <vector>
 
-#include "admission/overload_watch.h"
+#include "admission/overload_detector.h"
 #include "common/time.h"
 #include "gateway/backends/backend_pool.h"
 #include "gateway/backends/weight_targets.h"
@@ -182,7 +182,7 @@
   RouteTablePointer routes_;
   Sessions sessions_;
   std::set<WaitingRank> waiting_;
-  OverloadWatch overload_;
+  OverloadDetector overload_;
   RetryBudgets retries_;
   CrashCorrelator crash_correlator_;
   std::vector<RequestSummary> summaries_;
--- a/src/gateway/requests/request_forwarder_time.cpp
+++ b/src/gateway/requests/request_forwarder_time.cpp
@@ -84,7 +84,7 @@
   } else if (!session.waiting) {
     check_attempt(number, session, now, actions);
   } else if (now >= session.wait_until) {
-    if (!session.returning) overload_.on_turned_away(session.service->name, now);
+    if (!session.returning) overload_.on_avoidable_refusal(session.service->name, now);
     give_up(number, session, refusal_reason_after_wait(session, now), now, actions);
   }
 }
--- a/src/gateway/requests/request_planner.cpp
+++ b/src/gateway/requests/request_planner.cpp
@@ -33,10 +33,10 @@
   // Without a service the request is not forwarded, for example because its API key is missing.
   if (session.service == nullptr || stated <= Duration::zero()) return;
   const std::string group = caller_group(session);
-  const Duration waited = retry_estimator_.already_waited(group, stated);
-  retry_estimator_.note(group, stated);
+  const Duration waited = retry_estimator_.estimated_wait(group, stated);
+  retry_estimator_.on_request(group, stated);
   session.first_arrival = session.arrived - waited;
-  session.returning = waited >= scaled(session.route->goal, kReturningFraction);
+  session.returning = waited >= scaled(session.route->latency_goal, kReturningFraction);
 }
 
 void RequestPlanner::plan_times(RequestSession& session) {
@@ -44,7 +44,8 @@
   const Duration stated = session.request.time_left;
   const Duration time_left = stated > Duration::zero() ? stated : kDefaultTimeLeft;
   session.deadline = session.arrived + std::min(time_left, session.route->timeout);
-  session.wait_until = session.arrived + scaled(session.route->goal, options_.wait_fraction);
+  session.wait_until =
+      session.arrived + scaled(session.route->latency_goal, options_.wait_fraction);
 }
 
 BackendRequirements RequestPlanner::backend_requirements(const RequestSession& session,
@@ -61,7 +62,7 @@
 }
 
 double RequestPlanner::admission_limit_ms(const RequestSession& session, TimePoint now) const {
-  const double goal_ms = to_fractional_milliseconds(session.route->goal);
+  const double goal_ms = to_fractional_milliseconds(session.route->latency_goal);
   // A request that was already sent is worth finishing even after the goal.
   if (session.sends > 0) return to_fractional_milliseconds(session.deadline - now);
   const TimePoint since = session.returning ? session.arrived : session.first_arrival;
@@ -73,8 +74,8 @@
   const Duration stated = session.request.time_left;
   if (session.service == nullptr || stated <= Duration::zero()) return;
   const TimePoint returns_at = now + retry_after;
-  retry_estimator_.note_told(caller_group(session), stated - (returns_at - session.arrived),
-                             returns_at - session.first_arrival);
+  retry_estimator_.on_retry_advised(caller_group(session), stated - (returns_at - session.arrived),
+                                    returns_at - session.first_arrival);
 }
 
 Duration RequestPlanner::random_retry_after(const RequestSession& session, TimePoint now) {
--- a/src/gateway/requests/request_session.h
+++ b/src/gateway/requests/request_session.h
@@ -62,7 +62,7 @@
   bool waiting = false;
   // Current attempt.
   std::string backend;  ///< Empty when there is no attempt.
-  BackendLife backend_incarnation;
+  BackendIncarnation backend_incarnation;
   Address backend_address;
   TimePoint sent_at{};
   TimePoint last_progress{};
--- a/src/host/engine_list.cpp
+++ b/src/host/engine_list.cpp
@@ -26,9 +26,9 @@
 BackendListFollower::Step EngineList::on_changes(const BackendChanges& changes) {
   const BackendListFollower::Step step = follower_.on_changes(changes);
   if (step != BackendListFollower::Step::apply) return step;
-  if (changes.whole) records_.clear();
+  if (changes.complete) records_.clear();
   for (const BackendChange& entry : changes.entries) {
-    if (entry.gone) {
+    if (entry.removed) {
       records_.erase(entry.record.id);
     } else {
       records_[entry.record.id] = entry.record;
@@ -39,7 +39,7 @@
 
 bool EngineList::on_reader_status(std::uint64_t revision, TimePoint now) {
   reader_seen_at_ = now;
-  if (!follower_.lacks(revision) || now < next_request_at_) return false;
+  if (!follower_.is_behind(revision) || now < next_request_at_) return false;
   next_request_at_ = now + kListRequestInterval;
   return true;
 }
--- a/src/host/host_daemon.cpp
+++ b/src/host/host_daemon.cpp
@@ -128,7 +128,7 @@
 void HostDaemon::on_engine_profile(const EngineProfile& profile, const OriginProfile& origin) {
   if (!origin_) origin_ = origin_factory_->make(origin);
   capacity_.slots = profile.slots;
-  capacity_.prefill_chunk_tokens = profile.prompt_chunk;
+  capacity_.prefill_chunk_tokens = profile.prefill_chunk_tokens;
   capacity_.usual_prompt_tokens = profile.usual_prompt_tokens;
   engine_->set_layer_count(profile.layers);
   for (const ModelProfile& model : profile.models) {
@@ -177,7 +177,7 @@
 void HostDaemon::on_backend_changes(PeerId gateway, const BackendChanges& changes) {
   using Step = BackendListFollower::Step;
   const Step step = engine_list_.on_changes(changes);
-  if (step == Step::ask_whole) on_reader_status(gateway, changes.revision);
+  if (step == Step::request_full_list) on_reader_status(gateway, changes.revision);
   if (step == Step::apply) update_peers();
 }
 
@@ -273,9 +273,9 @@
 void HostDaemon::report_limit_change() {
   if (!permits_.take_changed()) return;
   const RateLimit& limit = permits_.limit();
-  const std::string rate = limit.named() ? std::to_string(*limit.per_second) : "-";
-  log_line("limit",
-           "engine limit_per_s=" + rate + (limit.named() ? " state=LIMITED" : " state=UNLIMITED"));
+  const std::string rate = limit.is_limited() ? std::to_string(*limit.per_second) : "-";
+  log_line("limit", "engine limit_per_s=" + rate +
+                        (limit.is_limited() ? " state=LIMITED" : " state=UNLIMITED"));
   metrics_.gauge("pumicemast_host_limit_requests_per_second", {}, limit.per_second.value_or(-1));
   const TimePoint now = loop_now();
   if (now - limit_reported_at_ < kLimitReportInterval) return;
@@ -406,7 +406,7 @@
   message.running = report.running;
   message.queued = report.queued;
   message.weight_version = report.weight_version;
-  message.pace = static_cast<float>(report.pace);
+  message.pace = static_cast<float>(report.slowdown);
   message.gateways = static_cast<std::uint32_t>(subscribers_.size());
   message.largest_zone_gateways = largest_zone_gateways();
   message.started_at_ms = report.started_at_ms;
@@ -458,7 +458,8 @@
   }
   capacity_.occupied = report.running + report.queued;
   // Under a rate limit permits replace credits, also at gateways that do not know of the limit yet.
-  if (permits_.limit().named()) capacity_.occupied = std::max(capacity_.occupied, capacity_.slots);
+  if (permits_.limit().is_limited())
+    capacity_.occupied = std::max(capacity_.occupied, capacity_.slots);
   return credit_allocator_.allocate(capacity_, gateways);
 }
 
--- a/tests/gateway/peers/backend_list_relay_test.cpp
+++ b/tests/gateway/peers/backend_list_relay_test.cpp
@@ -68,12 +68,12 @@
     const BackendChanges received = encode_and_decode(*changes);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, received.base);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{12}, received.revision);
-    CPPUNIT_ASSERT(!received.whole);
+    CPPUNIT_ASSERT(!received.complete);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, received.entries.size());
     CPPUNIT_ASSERT_EQUAL(std::string("a"), received.entries[0].record.id);
     CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:80"),
                          received.entries[0].record.address.to_string());
-    CPPUNIT_ASSERT(received.entries[1].gone);
+    CPPUNIT_ASSERT(received.entries[1].removed);
     CPPUNIT_ASSERT(!reader.on_current(12));
   }
 
@@ -81,7 +81,7 @@
     using Step = BackendListFollower::Step;
     BackendListFollower follower;
     follower.on_read(10);
-    CPPUNIT_ASSERT(follower.on_changes({12, 15, false, {}}) == Step::ask_whole);
+    CPPUNIT_ASSERT(follower.on_changes({12, 15, false, {}}) == Step::request_full_list);
     CPPUNIT_ASSERT(follower.on_changes({10, 12, false, {}}) == Step::apply);
     CPPUNIT_ASSERT(follower.on_changes({10, 12, false, {}}) == Step::ignore);
     CPPUNIT_ASSERT(follower.on_changes({0, 20, true, {}}) == Step::apply);
--- a/tests/limits/tenant_limiter_test.cpp
+++ b/tests/limits/tenant_limiter_test.cpp
@@ -6,7 +6,7 @@
 
 class TenantLimiterTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(TenantLimiterTest);
-  CPPUNIT_TEST(refuses_over_the_rate_and_says_when_to_come_back);
+  CPPUNIT_TEST(refuses_over_the_rate_and_states_when_to_retry);
   CPPUNIT_TEST(bounds_requests_in_progress);
   CPPUNIT_TEST(shares_a_tenants_rate_between_entries);
   CPPUNIT_TEST(an_unknown_tenant_is_not_limited);
@@ -14,7 +14,7 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void refuses_over_the_rate_and_says_when_to_come_back() {
+  void refuses_over_the_rate_and_states_when_to_retry() {
     TenantLimiter limiter(1);
     configure(limiter, {"t", 2, 2, 0, 5});
     CPPUNIT_ASSERT(limiter.admit("t", at(0)).admitted);
@@ -44,7 +44,7 @@
     for (std::int64_t ms = 0; ms < 10000; ms += 10) {
       if (limiter.admit("t", at(ms)).admitted) ++admitted;
     }
-    // A quarter of 40 a second over 10 s, and a quarter of the burst.
+    // A quarter of 40 requests per second over 10 s, plus a quarter of the burst.
     CPPUNIT_ASSERT(admitted >= 108 && admitted <= 110);
   }
 
--- a/tests/platform/origin_client_test.cpp
+++ b/tests/platform/origin_client_test.cpp
@@ -8,15 +8,15 @@
 using tests::run_until;
 using tests::ScriptedServer;
 
-/// Real sockets; every wait is for a condition.
+/// Uses real sockets; every wait is for a condition.
 class OriginClientTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(OriginClientTest);
   CPPUNIT_TEST(chunks_of_another_version_survive_a_cancellation);
-  CPPUNIT_TEST(waiting_chunks_of_a_cancelled_version_are_not_asked_for);
-  CPPUNIT_TEST(manifests_asked_for_at_once_are_all_answered);
-  CPPUNIT_TEST(a_chunk_that_is_not_wanted_any_more_is_cancelled_alone);
-  CPPUNIT_TEST(an_answer_that_comes_slowly_is_not_given_up);
-  CPPUNIT_TEST(an_origin_that_answers_late_is_given_more_time);
+  CPPUNIT_TEST(queued_chunks_of_a_cancelled_version_are_not_requested);
+  CPPUNIT_TEST(concurrent_manifest_requests_are_all_answered);
+  CPPUNIT_TEST(cancelling_a_chunk_leaves_other_chunks_alone);
+  CPPUNIT_TEST(a_slow_response_is_not_aborted);
+  CPPUNIT_TEST(a_late_origin_gets_a_longer_timeout);
   CPPUNIT_TEST_SUITE_END();
 
   ScriptedServer server_;
@@ -43,15 +43,15 @@
     CPPUNIT_ASSERT_EQUAL(std::string("ok"), arrived_.front());
   }
 
-  void waiting_chunks_of_a_cancelled_version_are_not_asked_for() {
+  void queued_chunks_of_a_cancelled_version_are_not_requested() {
     fetch(2, 0);
     fetch(2, 1);
-    fetch(2, 2);  // Waits for a connection.
+    fetch(2, 2);  // Waits for a free connection.
     fetch(3, 9);
     origin_.cancel_chunks("m", 2);
     for (std::size_t tries = 0; tries < 3 && arrived_.empty(); ++tries) {
       run_until([&] { return server_.try_accept(); });
-      // The connections of cancelled chunks carry nothing.
+      // The connections of cancelled chunks carry no request.
       for (int turn = 0; turn < 200; ++turn) {
         g_main_context_iteration(nullptr, FALSE);
         if (!server_.try_read_request("\r\n\r\n")) continue;
@@ -65,9 +65,9 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, arrived_.size());
   }
 
-  /// A version named while the manifest of the one before was on its way cut that call off without
-  /// an answer: nobody asked for that manifest again.
-  void manifests_asked_for_at_once_are_all_answered() {
+  /// A version named during the manifest call of the previous one aborted that call without a
+  /// response, and that manifest was never requested again.
+  void concurrent_manifest_requests_are_all_answered() {
     std::vector<std::uint64_t> answered;
     for (const std::uint64_t version : {2, 3}) {
       origin_.fetch_manifest("m", version, [&answered, version](std::optional<WeightManifest>) {
@@ -85,7 +85,7 @@
     CPPUNIT_ASSERT((answered == std::vector<std::uint64_t>{2, 3}));
   }
 
-  void a_chunk_that_is_not_wanted_any_more_is_cancelled_alone() {
+  void cancelling_a_chunk_leaves_other_chunks_alone() {
     fetch(2, 0);
     run_until([&] { return server_.try_accept(); });
     server_.end();
@@ -98,8 +98,8 @@
     run_until([&] { return !arrived_.empty(); });
   }
 
-  /// Its link is narrow; what is given up has to be sent again.
-  void an_answer_that_comes_slowly_is_not_given_up() {
+  /// The origin's link has little bandwidth, and an aborted transfer has to be sent again.
+  void a_slow_response_is_not_aborted() {
     fetch(2, 0);
     run_until([&] { return server_.try_accept(); });
     run_until([&] { return server_.try_read_request("\r\n\r\n"); });
@@ -112,8 +112,8 @@
     CPPUNIT_ASSERT_EQUAL(std::string("xxxx"), arrived_.front());
   }
 
-  /// Those before a call may hold the origin's link for longer than the first limit.
-  void an_origin_that_answers_late_is_given_more_time() {
+  /// Earlier calls may occupy the origin's link for longer than the initial timeout.
+  void a_late_origin_gets_a_longer_timeout() {
     fetch(2, 0);
     run_until([&] { return server_.try_accept(); });
     wait_for(milliseconds(2700));
--- a/tests/platform/store_list_test.cpp
+++ b/tests/platform/store_list_test.cpp
@@ -9,12 +9,12 @@
 using tests::run_until;
 using tests::ScriptedServer;
 
-/// A page that ended in an item without a name was asked for from the beginning again, for ever.
-/// Real sockets; every wait is for a condition.
+/// Guards against an endless loop: after a page whose last item had no name, the list was requested
+/// from its beginning again. Uses real sockets; every wait is for a condition.
 class StoreListTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StoreListTest);
-  CPPUNIT_TEST(a_nameless_item_at_the_end_of_a_page_costs_itself_alone);
-  CPPUNIT_TEST(a_page_without_any_name_ends_the_reading);
+  CPPUNIT_TEST(a_nameless_item_at_the_end_of_a_page_is_skipped);
+  CPPUNIT_TEST(a_page_without_names_ends_the_listing);
   CPPUNIT_TEST_SUITE_END();
 
   ScriptedServer server_;
@@ -39,7 +39,7 @@
   }
 
  public:
-  void a_nameless_item_at_the_end_of_a_page_costs_itself_alone() {
+  void a_nameless_item_at_the_end_of_a_page_is_skipped() {
     read();
     run_until([&] { return server_.try_accept(); });
     CPPUNIT_ASSERT_EQUAL(std::string("/objects/servers"), next_target());
@@ -52,14 +52,14 @@
     CPPUNIT_ASSERT_EQUAL(std::string("b"), listing_->objects[1].name);
   }
 
-  void a_page_without_any_name_ends_the_reading() {
+  void a_page_without_names_ends_the_listing() {
     read();
     run_until([&] { return server_.try_accept(); });
     next_target();
     answer(R"({"items":[{"spec":{}},null],"more":true,"at":9})");
     run_until([&] { return answered_; });
     CPPUNIT_ASSERT(!listing_.has_value());
-    // The list was not asked for from the beginning again.
+    // The list is not requested from the beginning again.
     CPPUNIT_ASSERT(!server_.try_read_request("\r\n\r\n"));
   }
 };
