--- a/src/host/download/version_download.cpp
+++ b/src/host/download/version_download.cpp
@@ -112,7 +112,7 @@
       download_options(self_, version_, peers_.size(), context_.origin.connection_limit());
   options.window = context_.download_window.limit(Duration::zero());
   options.upload_slots = context_.upload_window.limit(Duration::zero());
-  if (joins_late_) options.draw_delay = kLateJoinDelay;
+  if (joins_late_) options.external_fetch_delay = kLateJoinDelay;
   swarm_ = std::make_unique<Swarm>(options, std::move(have));
   SwarmActions actions;
   const auto joins = std::move(early_joins_);
--- a/src/swarm/chunk_procurement.h
+++ b/src/swarm/external_fetch_planner.h
@@ -19,7 +19,7 @@
 
 namespace pumicemast {
 
-struct ProcurementOptions {
+struct ExternalFetchOptions {
   PeerId self = 0;
   std::uint32_t origin_window = 2;
   /// How many of a chunk's overall owners draw it from the origin.
@@ -32,39 +32,39 @@
 };
 
 /// One request to make.
-struct ChunkDraw {
+struct ExternalFetch {
   ChunkIndex chunk = 0;
   std::optional<PeerId> peer;  ///< The origin when empty.
   /// The peer may not hold it yet and answers when it does.
   bool subscription = false;
 };
 
-class ChunkProcurement {
+class ExternalFetchPlanner {
  public:
-  explicit ChunkProcurement(ProcurementOptions options) : options_(options) {}
+  explicit ExternalFetchPlanner(ExternalFetchOptions options) : options_(options) {}
 
   /// Finds this agent's duties among the chunks not in `have`. Duties that go on keep their
   /// state.
   void plan(std::shared_ptr<const SwarmMembership> membership, const ChunkSet& have);
   /// Requests to make now, for chunks in `open`.
-  std::vector<ChunkDraw> next_draws(const ChunkSet& open, TimePoint now);
+  std::vector<ExternalFetch> next_fetches(const ChunkSet& open, TimePoint now);
 
   /// @return whether bringing `chunk` in was a duty of this agent.
   bool on_received(ChunkIndex chunk);
   /// The origin answers (again).
   void on_origin_answered();
   /// The source answered that it does not hold the chunk.
-  void on_draw_refused(ChunkIndex chunk, Duration pause, TimePoint now);
+  void on_fetch_refused(ChunkIndex chunk, Duration pause, TimePoint now);
   /// A draw brought nothing: the next source is tried after `pause`.
-  void on_draw_failed(ChunkIndex chunk, Duration pause, TimePoint now);
+  void on_fetch_failed(ChunkIndex chunk, Duration pause, TimePoint now);
   /// The origin refused or cannot be reached; nothing is gained by others trying too.
   void on_origin_failed(ChunkIndex chunk, Duration pause, TimePoint now);
   /// None of `missing` appeared for a whole takeover interval: the next in rank step in.
   /// @return subscriptions that have waited in vain and are to be closed.
   std::vector<ChunkIndex> on_starved(const ChunkSet& missing, TimePoint now);
   /// An owner in front of this agent lags: its chunk becomes a duty here.
-  /// @param draws  from the origin; otherwise from another region.
-  void take_over(ChunkIndex chunk, bool draws);
+  /// @param fetches_from_origin  from the origin; otherwise from another region.
+  void take_over(ChunkIndex chunk, bool fetches_from_origin);
   /// These are asked for nothing.
   void set_avoided(std::set<PeerId> avoided) { avoided_ = std::move(avoided); }
   /// Missing chunks appear again.
@@ -73,30 +73,30 @@
   std::uint64_t takeovers() const { return takeovers_; }
 
  private:
-  struct Duty {
+  struct FetchTask {
     bool from_origin = false;  ///< The origin is the first source, not the last.
     bool takeover = false;     ///< Taken over from an owner of a better rank.
     bool origin_allowed = false;
-    bool drawing = false;
-    bool at_origin = false;      ///< The draw under way is at the origin.
-    std::uint32_t step = 0;      ///< Position in the sequence of sources.
+    bool fetching = false;
+    bool fetching_from_origin = false;  ///< The draw under way is at the origin.
+    std::uint32_t step = 0;             ///< Position in the sequence of sources.
     std::uint32_t refusals = 0;  ///< Other regions' machines that answered without the chunk.
     TimePoint not_before{};
   };
 
-  void add_duty(ChunkIndex chunk, bool from_origin, bool takeover);
+  void add_task(ChunkIndex chunk, bool from_origin, bool takeover);
   std::vector<const SwarmParticipant*> other_region_sources(ChunkIndex chunk) const;
-  bool origin_is_due(const Duty& duty, std::size_t others, TimePoint now) const;
-  std::optional<ChunkDraw> draw(ChunkIndex chunk, Duty& duty, TimePoint now);
+  bool should_try_origin(const FetchTask& task, std::size_t others, TimePoint now) const;
+  std::optional<ExternalFetch> next_fetch(ChunkIndex chunk, FetchTask& task, TimePoint now);
 
-  ProcurementOptions options_;
+  ExternalFetchOptions options_;
   std::shared_ptr<const SwarmMembership> membership_;
   const SwarmParticipant* self_ = nullptr;
-  std::map<ChunkIndex, Duty> duties_;
+  std::map<ChunkIndex, FetchTask> tasks_;
   std::set<PeerId> avoided_;
-  std::uint32_t at_origin_ = 0;
+  std::uint32_t active_origin_fetches_ = 0;
   std::uint32_t takeover_rank_ = 0;
-  bool origin_fails_ = false;
+  bool origin_failing_ = false;
   TimePoint next_origin_probe_{};
   std::uint64_t takeovers_ = 0;
 };
--- a/src/swarm/open_requests.cpp
+++ b/src/swarm/open_requests.cpp
@@ -21,27 +21,27 @@
   return found == requests_.end() ? nullptr : &found->second;
 }
 
-std::vector<ChunkIndex> PeerRequests::chunks_asked_of(PeerId peer) const {
+std::vector<ChunkIndex> PeerRequests::chunks_requested_from(PeerId peer) const {
   return select([peer](const PeerRequest& request) { return request.peer == peer; });
 }
 
-void OriginDraws::on_arrived(ChunkIndex chunk, TimePoint now) {
-  const auto found = begun_.find(chunk);
-  if (found == begun_.end()) return;
-  last_took_ = now - found->second;
-  begun_.erase(found);
+void OriginFetches::on_arrived(ChunkIndex chunk, TimePoint now) {
+  const auto found = started_.find(chunk);
+  if (found == started_.end()) return;
+  last_duration_ = now - found->second;
+  started_.erase(found);
 }
 
-Duration OriginDraws::usual_time(TimePoint now) const {
-  Duration longest = last_took_;
-  for (const auto& [chunk, begun] : begun_) longest = std::max(longest, now - begun);
+Duration OriginFetches::typical_duration(TimePoint now) const {
+  Duration longest = last_duration_;
+  for (const auto& [chunk, started] : started_) longest = std::max(longest, now - started);
   return longest;
 }
 
-std::vector<ChunkIndex> OriginDraws::older_than(Duration limit, TimePoint now) const {
+std::vector<ChunkIndex> OriginFetches::older_than(Duration limit, TimePoint now) const {
   std::vector<ChunkIndex> chunks;
-  for (const auto& [chunk, begun] : begun_) {
-    if (now - begun >= limit) chunks.push_back(chunk);
+  for (const auto& [chunk, started] : started_) {
+    if (now - started >= limit) chunks.push_back(chunk);
   }
   return chunks;
 }
--- a/src/swarm/open_requests.h
+++ b/src/swarm/open_requests.h
@@ -26,7 +26,7 @@
   /// Null when `chunk` is asked of nobody.
   const PeerRequest* find(ChunkIndex chunk) const;
   bool contains(ChunkIndex chunk) const { return requests_.contains(chunk); }
-  std::vector<ChunkIndex> chunks_asked_of(PeerId peer) const;
+  std::vector<ChunkIndex> chunks_requested_from(PeerId peer) const;
   /// Chunks whose request `has_failed(request)`.
   template <class HasFailed>
   std::vector<ChunkIndex> select(HasFailed has_failed) const;
@@ -40,23 +40,23 @@
 };
 
 /// Chunks on their way from the origin.
-class OriginDraws {
+class OriginFetches {
  public:
-  void begin(ChunkIndex chunk, TimePoint now) { begun_[chunk] = now; }
+  void begin(ChunkIndex chunk, TimePoint now) { started_[chunk] = now; }
   /// @return whether `chunk` was on its way.
-  bool end(ChunkIndex chunk) { return begun_.erase(chunk) > 0; }
+  bool end(ChunkIndex chunk) { return started_.erase(chunk) > 0; }
   /// `chunk` came from the origin.
   void on_arrived(ChunkIndex chunk, TimePoint now);
-  bool contains(ChunkIndex chunk) const { return begun_.contains(chunk); }
+  bool contains(ChunkIndex chunk) const { return started_.contains(chunk); }
   /// How long a draw takes now: the last that arrived, or one under way that takes longer.
-  Duration usual_time(TimePoint now) const;
+  Duration typical_duration(TimePoint now) const;
   /// Those on their way for `limit` or longer.
   std::vector<ChunkIndex> older_than(Duration limit, TimePoint now) const;
-  std::uint32_t count() const { return static_cast<std::uint32_t>(begun_.size()); }
+  std::uint32_t count() const { return static_cast<std::uint32_t>(started_.size()); }
 
  private:
-  std::map<ChunkIndex, TimePoint> begun_;
-  Duration last_took_ = Duration::zero();
+  std::map<ChunkIndex, TimePoint> started_;
+  Duration last_duration_ = Duration::zero();
 };
 
 template <class HasFailed>
--- a/src/swarm/owner_watch.cpp
+++ b/src/swarm/owner_monitor.cpp
@@ -1,4 +1,4 @@
-#include "swarm/owner_watch.h"
+#include "swarm/owner_monitor.h"
 
 #include <map>
 
@@ -7,7 +7,8 @@
 
 /// Whether `self` is the first that does not lag of owners by rank, and not the very first.
 template <class OwnerOfRank>
-bool steps_in(PeerId self, const std::set<PeerId>& lagging, OwnerOfRank owner_of_rank) {
+bool is_first_healthy_successor(PeerId self, const std::set<PeerId>& lagging,
+                                OwnerOfRank owner_of_rank) {
   std::size_t rank = 0;
   const SwarmParticipant* owner = owner_of_rank(rank);
   while (owner != nullptr && lagging.contains(owner->id)) owner = owner_of_rank(++rank);
@@ -16,8 +17,8 @@
 
 }  // namespace
 
-void OwnerWatch::compare(const SwarmMembership& membership,
-                         const std::function<bool(ChunkIndex)>& appeared) {
+void OwnerMonitor::compare(const SwarmMembership& membership,
+                           const std::function<bool(ChunkIndex)>& appeared) {
   const std::uint32_t region = membership.find(self_)->region;
   std::map<PeerId, OwnerProgress> overall;
   std::map<PeerId, OwnerProgress> regional;
@@ -28,8 +29,8 @@
     ++progress.owned;
     if (has_appeared) ++progress.appeared;
   };
-  for (ChunkIndex chunk = 0; chunk < held_at_first_.size(); ++chunk) {
-    if (held_at_first_.contains(chunk)) continue;
+  for (ChunkIndex chunk = 0; chunk < initially_held_.size(); ++chunk) {
+    if (initially_held_.contains(chunk)) continue;
     const bool has_appeared = appeared(chunk);
     count(overall, membership.owner(chunk, 0), has_appeared);
     count(regional, membership.region_owner(chunk, region, 0), has_appeared);
@@ -39,14 +40,18 @@
   lagging_.erase(self_);
 }
 
-bool OwnerWatch::draws_instead(const SwarmMembership& membership, ChunkIndex chunk) const {
-  return steps_in(self_, lagging_, [&](std::size_t rank) { return membership.owner(chunk, rank); });
+bool OwnerMonitor::takes_over_origin_fetch(const SwarmMembership& membership,
+                                           ChunkIndex chunk) const {
+  return is_first_healthy_successor(
+      self_, lagging_, [&](std::size_t rank) { return membership.owner(chunk, rank); });
 }
 
-bool OwnerWatch::brings_instead(const SwarmMembership& membership, ChunkIndex chunk) const {
+bool OwnerMonitor::takes_over_region_fetch(const SwarmMembership& membership,
+                                           ChunkIndex chunk) const {
   const std::uint32_t region = membership.find(self_)->region;
-  return steps_in(self_, lagging_,
-                  [&](std::size_t rank) { return membership.region_owner(chunk, region, rank); });
+  return is_first_healthy_successor(self_, lagging_, [&](std::size_t rank) {
+    return membership.region_owner(chunk, region, rank);
+  });
 }
 
 }  // namespace pumicemast
--- a/src/swarm/owner_watch.h
+++ b/src/swarm/owner_monitor.h
@@ -14,12 +14,12 @@
 
 namespace pumicemast {
 
-class OwnerWatch {
+class OwnerMonitor {
  public:
   /// @param self             this agent; it is not judged.
-  /// @param held_at_first    chunks that came from elsewhere and are no owner's work.
-  OwnerWatch(PeerId self, ChunkSet held_at_first)
-      : self_(self), held_at_first_(std::move(held_at_first)) {}
+  /// @param initially_held    chunks that came from elsewhere and are no owner's work.
+  OwnerMonitor(PeerId self, ChunkSet initially_held)
+      : self_(self), initially_held_(std::move(initially_held)) {}
 
   /// Compares the owners anew.
   /// @param appeared  whether a chunk is here or at a neighbour.
@@ -28,13 +28,13 @@
 
   /// Whether this agent is the first overall owner of `chunk` that does not lag, in place of one
   /// that does.
-  bool draws_instead(const SwarmMembership& membership, ChunkIndex chunk) const;
+  bool takes_over_origin_fetch(const SwarmMembership& membership, ChunkIndex chunk) const;
   /// The same within this agent's region.
-  bool brings_instead(const SwarmMembership& membership, ChunkIndex chunk) const;
+  bool takes_over_region_fetch(const SwarmMembership& membership, ChunkIndex chunk) const;
 
  private:
   PeerId self_;
-  ChunkSet held_at_first_;
+  ChunkSet initially_held_;
   std::set<PeerId> lagging_;
 };
 
--- a/src/swarm/owner_progress.cpp
+++ b/src/swarm/owner_progress.cpp
@@ -4,26 +4,26 @@
 namespace {
 
 /// An owner is judged by what has appeared once so many of its chunks should have.
-constexpr double kLeastExpected = 2.5;
+constexpr double kMinimumExpected = 2.5;
 /// It lags with less than this share of what is expected.
-constexpr double kLaggingShare = 0.3;
+constexpr double kLaggingFraction = 0.3;
 /// Near the end an owner is judged by what is missing: it lags with this much more than so many
 /// times the others' share. One whose link became narrow on the way shows only then.
 constexpr double kMissingFactor = 3;
 constexpr double kMissingMargin = 0.2;
 /// Before the others miss as little as this, a single missing chunk is no sign.
-constexpr double kLastChunksShare = 0.05;
+constexpr double kLastChunksFraction = 0.05;
 
-bool began_slowly(const OwnerProgress& owner, double others_share) {
-  const double expected = others_share * owner.owned;
-  return expected >= kLeastExpected && owner.appeared <= kLaggingShare * expected;
+bool lags_early(const OwnerProgress& owner, double others_fraction) {
+  const double expected = others_fraction * owner.owned;
+  return expected >= kMinimumExpected && owner.appeared <= kLaggingFraction * expected;
 }
 
-bool ends_late(const OwnerProgress& owner, double others_share) {
-  const double others_missing = 1 - others_share;
+bool lags_late(const OwnerProgress& owner, double others_fraction) {
+  const double others_missing = 1 - others_fraction;
   const std::uint32_t missing = owner.owned - owner.appeared;
-  const std::uint32_t least = others_missing <= kLastChunksShare ? 1 : 2;
-  return missing >= least &&
+  const std::uint32_t minimum_missing = others_missing <= kLastChunksFraction ? 1 : 2;
+  return missing >= minimum_missing &&
          missing > (kMissingFactor * others_missing + kMissingMargin) * owner.owned;
 }
 
@@ -39,8 +39,8 @@
   for (const auto& [id, progress] : owners) {
     const double others_owned = all.owned - progress.owned;
     if (others_owned <= 0) continue;
-    const double others_share = (all.appeared - progress.appeared) / others_owned;
-    if (began_slowly(progress, others_share) || ends_late(progress, others_share)) {
+    const double others_fraction = (all.appeared - progress.appeared) / others_owned;
+    if (lags_early(progress, others_fraction) || lags_late(progress, others_fraction)) {
       lagging.insert(id);
     }
   }
--- a/src/swarm/peer_record.h
+++ b/src/swarm/peer_record.h
@@ -13,8 +13,8 @@
 
 /// When a peer that sends corrupt chunks is avoided. Links corrupt chunks too, so one is no proof.
 struct PeerTrust {
-  double corrupt_share = 0.05;
-  std::uint32_t corrupt_minimum = 3;
+  double corrupt_fraction = 0.05;
+  std::uint32_t minimum_corrupt = 3;
 };
 
 class PeerRecord {
@@ -35,7 +35,7 @@
     if (!corrupt) return false;
     ++corrupt_;
     const bool too_many =
-        corrupt_ >= trust.corrupt_minimum && corrupt_ >= trust.corrupt_share * received_;
+        corrupt_ >= trust.minimum_corrupt && corrupt_ >= trust.corrupt_fraction * received_;
     if (!too_many || avoided_) return false;
     avoided_ = true;
     return true;
@@ -55,7 +55,7 @@
     *this = std::move(kept);
   }
 
-  bool may_be_asked(TimePoint now) const { return joined && !avoided_ && now >= not_before_; }
+  bool can_request(TimePoint now) const { return joined && !avoided_ && now >= not_before_; }
   TimePoint last_arrival() const { return last_arrival_; }
 
  private:
--- a/src/swarm/response_times.h
+++ b/src/swarm/response_times.h
@@ -26,25 +26,25 @@
   /// Chunks arrive.
   void on_arrival() { scale_ = std::max(1, scale_ / 2); }
   /// Requests failed; responses are then not measured, so that the limit grows by itself.
-  void on_expiry() { scale_ = std::min(scale_ * 2, kMaximumScale); }
+  void on_timeout() { scale_ = std::min(scale_ * 2, kMaximumScale); }
 
   /// A request without an answer for so long has failed.
   Duration timeout() const {
-    const Duration usual = smoothed_ == Duration::zero()
-                               ? limits_.initial
-                               : std::max(smoothed_ * kTimeoutResponses, limits_.minimum);
-    return std::min(usual * scale_, limits_.maximum);
+    const Duration typical = smoothed_ == Duration::zero()
+                                 ? limits_.initial
+                                 : std::max(smoothed_ * kTimeoutFactor, limits_.minimum);
+    return std::min(typical * scale_, limits_.maximum);
   }
   /// The same once everything is asked for: one late answer is then all that is waited for.
   Duration end_game_timeout() const {
-    return std::max(smoothed_ * kEndGameResponses, limits_.minimum);
+    return std::max(smoothed_ * kEndGameFactor, limits_.minimum);
   }
 
  private:
   /// Response times are smoothed over about this many answers.
   static constexpr int kSmoothing = 8;
-  static constexpr int kTimeoutResponses = 6;
-  static constexpr int kEndGameResponses = 3;
+  static constexpr int kTimeoutFactor = 6;
+  static constexpr int kEndGameFactor = 3;
   static constexpr int kMaximumScale = 16;
 
   ResponseLimits limits_;
--- a/src/swarm/swarm.cpp
+++ b/src/swarm/swarm.cpp
@@ -27,12 +27,13 @@
 Swarm::Swarm(SwarmOptions options, ChunkSet have)
     : options_(options),
       picker_(std::move(have), options.pick_policy, options.seed ^ options.self),
-      procurement_({options.self, options.origin_window, options.origin_copies,
-                    options.origin_for_all, options.origin_probe_interval, options.source_pause}),
+      external_fetches_({options.self, options.origin_window, options.origin_copies,
+                         options.origin_for_all, options.origin_probe_interval,
+                         options.source_pause}),
       uploads_(options.upload_slots, options.upload_queue_limit),
       responses_({options.initial_request_timeout, options.minimum_request_timeout,
                   options.maximum_request_timeout}),
-      appearances_(options.takeover_interval),
+      starvation_(options.takeover_interval),
       random_(static_cast<std::minstd_rand::result_type>(
           (options.seed * 31 + options.self) % std::minstd_rand::modulus + 1)) {}
 
@@ -60,18 +61,18 @@
   self_ = membership_->find(options_.self);
   if (first) {
     last_chunk_ = now;
-    appearances_.restart(now);
-    first_draw_ = now + options_.draw_delay;
+    starvation_.restart(now);
+    first_external_fetch_ = now + options_.external_fetch_delay;
     next_lag_check_ = now + options_.lag_check_interval * kFirstLagCheck;
-    owner_watch_.emplace(options_.self, have());
+    owner_monitor_.emplace(options_.self, have());
   }
   for (const PeerId id : membership_->neighbours(options_.self)) add_neighbour(id, actions);
-  procurement_.plan(membership_, have());
+  external_fetches_.plan(membership_, have());
   if (complete() && !reported_complete_) {
     reported_complete_ = true;
     actions.push_back(SwarmComplete{});
   }
-  request_from_outside(now, actions);
+  request_external_chunks(now, actions);
   request_more(now, actions);
 }
 
@@ -85,7 +86,7 @@
   record.joined = true;
   record.held = ChunkSet(have().size());
   held.for_each([&](ChunkIndex chunk) {
-    if (record.held.insert(chunk)) note_neighbour_has(chunk, now, actions);
+    if (record.held.insert(chunk)) record_neighbour_has(chunk, now, actions);
   });
   request_more(now, actions);
 }
@@ -95,7 +96,7 @@
   const auto found = peers_.find(id);
   if (found == peers_.end() || !found->second.joined) return;
   for (const ChunkIndex chunk : chunks) {
-    if (found->second.held.insert(chunk)) note_neighbour_has(chunk, now, actions);
+    if (found->second.held.insert(chunk)) record_neighbour_has(chunk, now, actions);
   }
   request_more(now, actions);
 }
@@ -103,10 +104,10 @@
 void Swarm::on_peer_lost(PeerId id, TimePoint now, SwarmActions& actions) {
   const auto found = peers_.find(id);
   if (found == peers_.end()) return;
-  for (const ChunkIndex chunk : requests_.chunks_asked_of(id)) {
+  for (const ChunkIndex chunk : requests_.chunks_requested_from(id)) {
     close_request(chunk);
     picker_.on_request_failed(chunk);
-    procurement_.on_draw_failed(chunk, Duration::zero(), now);
+    external_fetches_.on_fetch_failed(chunk, Duration::zero(), now);
   }
   if (found->second.joined) picker_.on_neighbour_lost(found->second.held);
   std::erase_if(neighbours_, [&](const Neighbour& neighbour) { return neighbour.id == id; });
@@ -141,16 +142,16 @@
   request_from_neighbours(now, actions);
 }
 
-void Swarm::request_from_outside(TimePoint now, SwarmActions& actions) {
-  if (paused_ || membership_ == nullptr || complete() || now < first_draw_) return;
-  for (const ChunkDraw& draw : procurement_.next_draws(picker_.open(), now)) {
-    if (draw.peer) {
-      open_request(*draw.peer, draw.chunk, true, now, actions);
+void Swarm::request_external_chunks(TimePoint now, SwarmActions& actions) {
+  if (paused_ || membership_ == nullptr || complete() || now < first_external_fetch_) return;
+  for (const ExternalFetch& fetch : external_fetches_.next_fetches(picker_.open(), now)) {
+    if (fetch.peer) {
+      open_request(*fetch.peer, fetch.chunk, true, now, actions);
       continue;
     }
-    picker_.on_requested(draw.chunk);
-    draws_.begin(draw.chunk, now);
-    actions.push_back(RequestFromOrigin{draw.chunk});
+    picker_.on_requested(fetch.chunk);
+    origin_fetches_.begin(fetch.chunk, now);
+    actions.push_back(RequestFromOrigin{fetch.chunk});
   }
 }
 
@@ -173,7 +174,7 @@
   std::vector<Neighbour> suppliers;
   suppliers.reserve(neighbours_.size());
   for (const Neighbour& neighbour : neighbours_) {
-    if (neighbour.peer->may_be_asked(now)) suppliers.push_back(neighbour);
+    if (neighbour.peer->can_request(now)) suppliers.push_back(neighbour);
   }
   std::shuffle(suppliers.begin(), suppliers.end(), random_);
   return suppliers;
@@ -183,10 +184,10 @@
                      TimePoint now, SwarmActions& actions) {
   if (chunk >= have().size()) return;
   if (source) {
-    note_delivery(*source, chunk, arrival, now, actions);
+    record_delivery(*source, chunk, arrival, now, actions);
   } else {
-    draws_.on_arrived(chunk, now);
-    procurement_.on_origin_answered();
+    origin_fetches_.on_arrived(chunk, now);
+    external_fetches_.on_origin_answered();
     if (arrival == ChunkArrival::verified) ++counters_.chunks_from_origin;
   }
   if (arrival == ChunkArrival::corrupt) {
@@ -196,8 +197,8 @@
   }
 }
 
-void Swarm::note_delivery(PeerId source, ChunkIndex chunk, ChunkArrival arrival, TimePoint now,
-                          SwarmActions& actions) {
+void Swarm::record_delivery(PeerId source, ChunkIndex chunk, ChunkArrival arrival, TimePoint now,
+                            SwarmActions& actions) {
   const bool corrupt = arrival == ChunkArrival::corrupt;
   const bool newly_avoided = peer(source).on_delivery(corrupt, options_.trust, now);
   responses_.on_arrival();
@@ -215,10 +216,10 @@
 
 void Swarm::reject_chunk(ChunkIndex chunk, TimePoint now, SwarmActions& actions) {
   ++counters_.corrupt_chunks;
-  const bool requested_elsewhere = requests_.contains(chunk) || draws_.contains(chunk);
+  const bool requested_elsewhere = requests_.contains(chunk) || origin_fetches_.contains(chunk);
   if (!requested_elsewhere) picker_.on_request_failed(chunk);
-  procurement_.on_draw_failed(chunk, Duration::zero(), now);
-  request_from_outside(now, actions);
+  external_fetches_.on_fetch_failed(chunk, Duration::zero(), now);
+  request_external_chunks(now, actions);
   request_more(now, actions);
 }
 
@@ -232,14 +233,14 @@
     return;
   }
   last_chunk_ = now;
-  const bool from_outside = procurement_.on_received(chunk);
-  if (from_outside) note_appearance(now);
+  const bool from_outside = external_fetches_.on_received(chunk);
+  if (from_outside) record_appearance(now);
   // Late answers to an earlier request: the second request is no longer needed.
   if (const PeerRequest* request = requests_.find(chunk)) {
     actions.push_back(CancelFromPeer{request->peer, chunk});
     close_request(chunk);
   }
-  if (draws_.end(chunk)) actions.push_back(CancelFromOrigin{chunk});
+  if (origin_fetches_.end(chunk)) actions.push_back(CancelFromOrigin{chunk});
   unannounced_.push_back(chunk);
   uploads_.on_held(chunk, actions);
   if (complete() && !reported_complete_) {
@@ -248,7 +249,7 @@
     actions.push_back(SwarmComplete{});
   }
   if (now >= next_announcement_) announce(now, actions);
-  if (from_outside) request_from_outside(now, actions);
+  if (from_outside) request_external_chunks(now, actions);
   request_more(now, actions);
 }
 
@@ -257,17 +258,17 @@
   if (request == nullptr || request->peer != id) return;
   close_request(chunk);
   picker_.on_request_failed(chunk);
-  procurement_.on_draw_refused(chunk, kRefusalPause, now);
+  external_fetches_.on_fetch_refused(chunk, kRefusalPause, now);
   peer(id).on_refusal(kRefusalPause, now);
   request_more(now, actions);
 }
 
 void Swarm::on_origin_failed(ChunkIndex chunk, Duration retry_after, TimePoint now,
                              SwarmActions& actions) {
-  if (!draws_.end(chunk)) return;
+  if (!origin_fetches_.end(chunk)) return;
   picker_.on_request_failed(chunk);
-  procurement_.on_origin_failed(chunk, retry_after, now);
-  request_from_outside(now, actions);
+  external_fetches_.on_origin_failed(chunk, retry_after, now);
+  request_external_chunks(now, actions);
   request_more(now, actions);
 }
 
@@ -309,60 +310,60 @@
   const auto expired = requests_.select([&](const PeerRequest& request) {
     const Duration limit = request.subscription ? options_.subscription_timeout : timeout;
     // A peer that delivers other chunks meanwhile is busy, not stalled.
-    const TimePoint last_sign =
+    const TimePoint last_activity =
         end_game ? request.sent : std::max(request.sent, peer(request.peer).last_arrival());
-    return now - last_sign >= limit;
+    return now - last_activity >= limit;
   });
   for (const ChunkIndex chunk : expired) {
     const PeerRequest request = *requests_.find(chunk);
     if (!request.subscription) peer(request.peer).on_stall(kStallPause, now);
     abandon_request(chunk, actions);
-    procurement_.on_draw_failed(chunk, Duration::zero(), now);
+    external_fetches_.on_fetch_failed(chunk, Duration::zero(), now);
     ++counters_.request_timeouts;
   }
-  if (!expired.empty() && !end_game) responses_.on_expiry();
+  if (!expired.empty() && !end_game) responses_.on_timeout();
 }
 
-void Swarm::expire_draws(TimePoint now, SwarmActions& actions) {
-  for (const ChunkIndex chunk : draws_.older_than(options_.origin_timeout, now)) {
-    draws_.end(chunk);
+void Swarm::expire_origin_fetches(TimePoint now, SwarmActions& actions) {
+  for (const ChunkIndex chunk : origin_fetches_.older_than(options_.origin_timeout, now)) {
+    origin_fetches_.end(chunk);
     picker_.on_request_failed(chunk);
-    procurement_.on_draw_failed(chunk, Duration::zero(), now);
+    external_fetches_.on_fetch_failed(chunk, Duration::zero(), now);
     actions.push_back(CancelFromOrigin{chunk});
   }
 }
 
-void Swarm::note_neighbour_has(ChunkIndex chunk, TimePoint now, SwarmActions& actions) {
+void Swarm::record_neighbour_has(ChunkIndex chunk, TimePoint now, SwarmActions& actions) {
   const bool appears = picker_.availability(chunk) == 0 && !have().contains(chunk);
   picker_.on_neighbour_has(chunk);
   if (!appears) return;
-  note_appearance(now);
-  if (draws_.end(chunk)) {
+  record_appearance(now);
+  if (origin_fetches_.end(chunk)) {
     // It need not leave the origin again; most requests there are still in its queue.
-    procurement_.on_received(chunk);
+    external_fetches_.on_received(chunk);
     picker_.on_request_failed(chunk);
     actions.push_back(CancelFromOrigin{chunk});
   }
 }
 
-void Swarm::note_appearance(TimePoint now) {
-  appearances_.on_appearance(now);
-  procurement_.on_progress();
+void Swarm::record_appearance(TimePoint now) {
+  starvation_.on_chunk_appeared(now);
+  external_fetches_.on_progress();
 }
 
 void Swarm::take_over_if_starved(TimePoint now, SwarmActions& actions) {
   if (paused_ || complete() || self_ == nullptr) return;
-  appearances_.set_draw_time(draws_.usual_time(now));
-  if (!appearances_.starved(now)) return;
-  const bool none_arrives = now - last_chunk_ >= appearances_.takeover_interval();
-  appearances_.on_takeover(now);
+  starvation_.set_origin_fetch_time(origin_fetches_.typical_duration(now));
+  if (!starvation_.starved(now)) return;
+  const bool no_chunk_arrives = now - last_chunk_ >= starvation_.takeover_interval();
+  starvation_.on_takeover(now);
   ChunkSet missing(have().size());
   for (ChunkIndex chunk = 0; chunk < have().size(); ++chunk) {
     if (have().contains(chunk)) continue;
-    if (none_arrives || picker_.availability(chunk) == 0) missing.insert(chunk);
+    if (no_chunk_arrives || picker_.availability(chunk) == 0) missing.insert(chunk);
   }
   if (missing.count() == 0) return;
-  for (const ChunkIndex chunk : procurement_.on_starved(missing, now)) {
+  for (const ChunkIndex chunk : external_fetches_.on_starved(missing, now)) {
     if (requests_.contains(chunk)) abandon_request(chunk, actions);
   }
 }
@@ -371,13 +372,13 @@
   return have().contains(chunk) || picker_.availability(chunk) > 0;
 }
 
-void Swarm::take_over_from_lagging(TimePoint now, SwarmActions& actions) {
+void Swarm::take_over_from_lagging_owners(TimePoint now, SwarmActions& actions) {
   const bool due = options_.lag_check_interval > Duration::zero() && now >= next_lag_check_;
   if (!due || paused_ || complete() || self_ == nullptr) return;
   next_lag_check_ = now + options_.lag_check_interval;
-  owner_watch_->compare(*membership_, [this](ChunkIndex chunk) { return appeared(chunk); });
-  procurement_.set_avoided(owner_watch_->lagging());
-  if (owner_watch_->lagging().empty()) return;
+  owner_monitor_->compare(*membership_, [this](ChunkIndex chunk) { return appeared(chunk); });
+  external_fetches_.set_avoided(owner_monitor_->lagging());
+  if (owner_monitor_->lagging().empty()) return;
   for (ChunkIndex chunk = 0; chunk < have().size(); ++chunk) {
     if (!appeared(chunk)) take_over_chunk(chunk, now, actions);
   }
@@ -385,15 +386,16 @@
 
 void Swarm::take_over_chunk(ChunkIndex chunk, TimePoint now, SwarmActions& actions) {
   const PeerRequest* request = requests_.find(chunk);
-  const bool in_vain = request != nullptr && request->subscription &&
-                       owner_watch_->lagging().contains(request->peer);
-  if (in_vain) {
+  const bool futile = request != nullptr && request->subscription &&
+                      owner_monitor_->lagging().contains(request->peer);
+  if (futile) {
     abandon_request(chunk, actions);
-    procurement_.on_draw_failed(chunk, Duration::zero(), now);
+    external_fetches_.on_fetch_failed(chunk, Duration::zero(), now);
   }
-  const bool draws = owner_watch_->draws_instead(*membership_, chunk);
-  const bool brings = owner_watch_->brings_instead(*membership_, chunk);
-  if (draws || brings) procurement_.take_over(chunk, draws);
+  const bool fetches_from_origin = owner_monitor_->takes_over_origin_fetch(*membership_, chunk);
+  const bool fetches_into_region = owner_monitor_->takes_over_region_fetch(*membership_, chunk);
+  if (fetches_from_origin || fetches_into_region)
+    external_fetches_.take_over(chunk, fetches_from_origin);
 }
 
 void Swarm::join_missing_neighbours(TimePoint now, SwarmActions& actions) {
@@ -405,18 +407,18 @@
 void Swarm::on_tick(TimePoint now, SwarmActions& actions) {
   join_missing_neighbours(now, actions);
   expire_requests(now, actions);
-  expire_draws(now, actions);
-  take_over_from_lagging(now, actions);
+  expire_origin_fetches(now, actions);
+  take_over_from_lagging_owners(now, actions);
   take_over_if_starved(now, actions);
   if (now >= next_announcement_) announce(now, actions);
-  request_from_outside(now, actions);
+  request_external_chunks(now, actions);
   request_more(now, actions);
 }
 
 void Swarm::set_paused(bool paused, TimePoint now, SwarmActions& actions) {
   paused_ = paused;
   last_chunk_ = now;
-  appearances_.restart(now);
+  starvation_.restart(now);
   request_more(now, actions);
 }
 
--- a/src/swarm/swarm.h
+++ b/src/swarm/swarm.h
@@ -20,14 +20,14 @@
 #include <vector>
 
 #include "common/time.h"
-#include "swarm/appearance_watch.h"
 #include "swarm/chunk_picker.h"
-#include "swarm/chunk_procurement.h"
 #include "swarm/chunk_set.h"
+#include "swarm/external_fetch_planner.h"
 #include "swarm/open_requests.h"
-#include "swarm/owner_watch.h"
+#include "swarm/owner_monitor.h"
 #include "swarm/peer_record.h"
 #include "swarm/response_times.h"
+#include "swarm/starvation_detector.h"
 #include "swarm/swarm_actions.h"
 #include "swarm/swarm_membership.h"
 #include "swarm/swarm_options.h"
@@ -86,10 +86,10 @@
   const ChunkSet& have() const { return picker_.have(); }
   bool complete() const { return picker_.have().full(); }
   const SwarmCounters& counters() const { return counters_; }
-  std::uint64_t takeovers() const { return procurement_.takeovers(); }
+  std::uint64_t takeovers() const { return external_fetches_.takeovers(); }
   /// Chunks in memory or on their way: what bounds the agent's memory.
   std::uint32_t chunks_in_memory() const {
-    return requests_.within_window() + draws_.count() + uploads_.active();
+    return requests_.within_window() + origin_fetches_.count() + uploads_.active();
   }
 
  private:
@@ -103,7 +103,7 @@
   void request_more(TimePoint now, SwarmActions& actions);
   void request_from_neighbours(TimePoint now, SwarmActions& actions);
   std::vector<Neighbour> shuffled_suppliers(TimePoint now);
-  void request_from_outside(TimePoint now, SwarmActions& actions);
+  void request_external_chunks(TimePoint now, SwarmActions& actions);
   void join_missing_neighbours(TimePoint now, SwarmActions& actions);
   void open_request(PeerId id, ChunkIndex chunk, bool subscription, TimePoint now,
                     SwarmActions& actions);
@@ -112,40 +112,40 @@
   void abandon_request(ChunkIndex chunk, SwarmActions& actions);
   void expire_requests(TimePoint now, SwarmActions& actions);
   /// The same for draws from the origin.
-  void expire_draws(TimePoint now, SwarmActions& actions);
-  void note_neighbour_has(ChunkIndex chunk, TimePoint now, SwarmActions& actions);
-  void take_over_from_lagging(TimePoint now, SwarmActions& actions);
+  void expire_origin_fetches(TimePoint now, SwarmActions& actions);
+  void record_neighbour_has(ChunkIndex chunk, TimePoint now, SwarmActions& actions);
+  void take_over_from_lagging_owners(TimePoint now, SwarmActions& actions);
   bool appeared(ChunkIndex chunk) const;
   void take_over_chunk(ChunkIndex chunk, TimePoint now, SwarmActions& actions);
   void take_over_if_starved(TimePoint now, SwarmActions& actions);
   /// Takes down what a delivery says about its sender.
-  void note_delivery(PeerId source, ChunkIndex chunk, ChunkArrival arrival, TimePoint now,
-                     SwarmActions& actions);
+  void record_delivery(PeerId source, ChunkIndex chunk, ChunkArrival arrival, TimePoint now,
+                       SwarmActions& actions);
   void reject_chunk(ChunkIndex chunk, TimePoint now, SwarmActions& actions);
   void accept_chunk(ChunkIndex chunk, TimePoint now, SwarmActions& actions);
   void announce(TimePoint now, SwarmActions& actions);
-  void note_appearance(TimePoint now);
+  void record_appearance(TimePoint now);
   bool in_other_region(PeerId id) const;
 
   SwarmOptions options_;
   std::shared_ptr<const SwarmMembership> membership_;
   const SwarmParticipant* self_ = nullptr;
   ChunkPicker picker_;
-  ChunkProcurement procurement_;
+  ExternalFetchPlanner external_fetches_;
   SwarmUploads uploads_;
   std::map<PeerId, PeerRecord> peers_;
   std::vector<Neighbour> neighbours_;
   PeerRequests requests_;
-  OriginDraws draws_;
+  OriginFetches origin_fetches_;
   TimePoint last_chunk_{};  ///< When a chunk last arrived here.
   ResponseTimes responses_;
-  AppearanceWatch appearances_;
+  StarvationDetector starvation_;
   std::vector<ChunkIndex> unannounced_;
   TimePoint next_announcement_{};
   TimePoint next_rejoin_{};
   TimePoint next_lag_check_{};
-  TimePoint first_draw_{};                 ///< Nothing is drawn from outside before.
-  std::optional<OwnerWatch> owner_watch_;  ///< From the first list of participants on.
+  TimePoint first_external_fetch_{};           ///< Nothing is drawn from outside before.
+  std::optional<OwnerMonitor> owner_monitor_;  ///< From the first list of participants on.
   bool paused_ = false;
   bool reported_complete_ = false;
   std::minstd_rand random_;
--- a/src/swarm/swarm_membership.cpp
+++ b/src/swarm/swarm_membership.cpp
@@ -50,26 +50,26 @@
 void SwarmMembership::assign_even_shares(ChunkIndex chunk_count) {
   const auto share_of = [&](std::size_t members) { return (chunk_count + members - 1) / members; };
   std::map<PeerId, std::size_t> owned;
-  std::map<PeerId, std::size_t> drawn;
+  std::map<PeerId, std::size_t> origin_fetches;
   first_owners_.reserve(chunk_count);
   for (ChunkIndex chunk = 0; chunk < chunk_count; ++chunk) {
     FirstOwners owners;
     for (const auto& [region, ring] : region_rings_) {
       const std::size_t share = share_of(ring.members.size());
-      const PeerId free =
+      const PeerId candidate =
           ring.first_from(position(chunk), [&](PeerId id) { return owned[id] < share; });
-      assert(free != 0);
-      ++owned[free];
-      owners.by_region[region] = free;
+      assert(candidate != 0);
+      ++owned[candidate];
+      owners.by_region[region] = candidate;
     }
     // Of the regions' owners, so that one of them need not be brought the chunk.
-    const auto least = std::min_element(
+    const auto least_loaded = std::min_element(
         owners.by_region.begin(), owners.by_region.end(), [&](const auto& left, const auto& right) {
-          return std::pair(drawn[left.second], stable_hash(seed_ ^ left.second, chunk)) <
-                 std::pair(drawn[right.second], stable_hash(seed_ ^ right.second, chunk));
+          return std::pair(origin_fetches[left.second], stable_hash(seed_ ^ left.second, chunk)) <
+                 std::pair(origin_fetches[right.second], stable_hash(seed_ ^ right.second, chunk));
         });
-    owners.overall = least->second;
-    ++drawn[owners.overall];
+    owners.overall = least_loaded->second;
+    ++origin_fetches[owners.overall];
     first_owners_.push_back(std::move(owners));
   }
 }
@@ -135,9 +135,9 @@
   if (first == 0) return find(ring.at(position(chunk), rank));
   if (rank == 0) return find(first);
   // Those before `first` in the ring's order move back by one rank.
-  std::size_t place = 0;
-  while (place < rank && ring.at(position(chunk), place) != first) ++place;
-  return find(ring.at(position(chunk), place < rank ? rank : rank - 1));
+  std::size_t ring_rank = 0;
+  while (ring_rank < rank && ring.at(position(chunk), ring_rank) != first) ++ring_rank;
+  return find(ring.at(position(chunk), ring_rank < rank ? rank : rank - 1));
 }
 
 const SwarmParticipant* SwarmMembership::owner(ChunkIndex chunk, std::size_t rank) const {
--- a/src/swarm/swarm_options.h
+++ b/src/swarm/swarm_options.h
@@ -19,7 +19,7 @@
   /// From the first list of participants until the first draw from outside. Who joins late, as
   /// after a restart, first hears from its neighbours what they hold: it need not leave the
   /// origin a second time.
-  Duration draw_delay = Duration::zero();
+  Duration external_fetch_delay = Duration::zero();
   std::uint32_t upload_slots = 2;  ///< Chunks handed to the link at once.
   std::uint32_t upload_queue_limit = 16;
   /// How many of a chunk's owners draw it from the origin: 1 spares the origin most.
--- a/tests/swarm/open_requests_test.cpp
+++ b/tests/swarm/open_requests_test.cpp
@@ -8,15 +8,15 @@
   CPPUNIT_TEST_SUITE(OpenRequestsTest);
   CPPUNIT_TEST(subscriptions_do_not_count_against_the_window);
   CPPUNIT_TEST(closing_twice_counts_once);
-  CPPUNIT_TEST(chunks_are_found_by_whom_they_are_asked_of);
-  CPPUNIT_TEST(draws_grow_old);
+  CPPUNIT_TEST(chunks_are_found_by_the_requested_peer);
+  CPPUNIT_TEST(finds_fetches_older_than_a_limit);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr PeerId kPeer = 7;
   static constexpr PeerId kOther = 8;
 
   PeerRequests requests;
-  OriginDraws draws;
+  OriginFetches fetches;
   TimePoint now{seconds(10)};
 
  public:
@@ -38,21 +38,22 @@
     CPPUNIT_ASSERT(requests.find(1) == nullptr);
   }
 
-  void chunks_are_found_by_whom_they_are_asked_of() {
+  void chunks_are_found_by_the_requested_peer() {
     requests.open(1, {kPeer, now, false});
     requests.open(2, {kOther, now, false});
     requests.open(3, {kPeer, now, true});
-    CPPUNIT_ASSERT(requests.chunks_asked_of(kPeer) == std::vector<ChunkIndex>({1, 3}));
+    CPPUNIT_ASSERT(requests.chunks_requested_from(kPeer) == std::vector<ChunkIndex>({1, 3}));
     CPPUNIT_ASSERT(requests.find(3)->subscription);
   }
 
-  void draws_grow_old() {
-    draws.begin(1, now);
-    draws.begin(2, now + seconds(1));
-    CPPUNIT_ASSERT(draws.older_than(seconds(3), now + seconds(3)) == std::vector<ChunkIndex>({1}));
-    CPPUNIT_ASSERT(draws.end(1));
-    CPPUNIT_ASSERT(!draws.end(1));
-    CPPUNIT_ASSERT_EQUAL(1U, draws.count());
+  void finds_fetches_older_than_a_limit() {
+    fetches.begin(1, now);
+    fetches.begin(2, now + seconds(1));
+    CPPUNIT_ASSERT(fetches.older_than(seconds(3), now + seconds(3)) ==
+                   std::vector<ChunkIndex>({1}));
+    CPPUNIT_ASSERT(fetches.end(1));
+    CPPUNIT_ASSERT(!fetches.end(1));
+    CPPUNIT_ASSERT_EQUAL(1U, fetches.count());
   }
 };
 
--- a/tests/swarm/origin_outage_test.cpp
+++ b/tests/swarm/origin_outage_test.cpp
@@ -11,7 +11,7 @@
 using tests::OriginOutageSettings;
 using tests::OriginOutageWorld;
 
-OriginOutageResult play(const OriginOutageSettings& settings) {
+OriginOutageResult run_simulation(const OriginOutageSettings& settings) {
   const OriginOutageResult result = OriginOutageWorld(settings).run();
   std::cout << " agents=" << settings.agents << " seed=" << settings.seed
             << " origin_copies=" << result.origin_copies << " first_s=" << result.first_complete_s
@@ -33,29 +33,29 @@
 /// to 2.2 copies and the last agent has all 4 s after its return. These bounds keep it so.
 class OriginOutageTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(OriginOutageTest);
-  CPPUNIT_TEST(a_calm_origin_sends_one_copy);
-  CPPUNIT_TEST(an_origin_that_was_away_sends_few_copies);
-  CPPUNIT_TEST(a_narrow_origin_sends_little_twice);
-  CPPUNIT_TEST(a_narrow_origin_that_was_away_is_used_at_once);
-  CPPUNIT_TEST(an_origin_so_narrow_that_a_chunk_takes_seconds_sends_little_twice);
+  CPPUNIT_TEST(an_available_origin_sends_about_one_copy);
+  CPPUNIT_TEST(an_origin_sends_few_copies_after_an_outage);
+  CPPUNIT_TEST(a_narrow_origin_sends_few_chunks_twice);
+  CPPUNIT_TEST(a_narrow_origin_is_used_at_once_after_an_outage);
+  CPPUNIT_TEST(a_very_narrow_origin_sends_few_chunks_twice);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void a_calm_origin_sends_one_copy() {
+  void an_available_origin_sends_about_one_copy() {
     OriginOutageSettings settings;
     settings.away_from = settings.away_until = Duration::zero();
     settings.replaced = 0;
-    const OriginOutageResult result = play(settings);
+    const OriginOutageResult result = run_simulation(settings);
     CPPUNIT_ASSERT_EQUAL(0U, result.incomplete);
     CPPUNIT_ASSERT(result.origin_copies < 1.3);
     CPPUNIT_ASSERT(result.last_complete_s < 6);
   }
 
-  void an_origin_that_was_away_sends_few_copies() {
+  void an_origin_sends_few_copies_after_an_outage() {
     for (std::uint32_t seed = 1; seed <= 3; ++seed) {
       OriginOutageSettings settings;
       settings.seed = seed;
-      const OriginOutageResult result = play(settings);
+      const OriginOutageResult result = run_simulation(settings);
       CPPUNIT_ASSERT_EQUAL(0U, result.incomplete);
       CPPUNIT_ASSERT(result.origin_copies < 2.5);
       CPPUNIT_ASSERT(result.last_complete_s < 8.5 + 5);
@@ -74,42 +74,42 @@
     return settings;
   }
 
-  void a_narrow_origin_sends_little_twice() {
+  void a_narrow_origin_sends_few_chunks_twice() {
     for (std::uint32_t seed = 1; seed <= 3; ++seed) {
       OriginOutageSettings settings = narrow_origin();
       settings.seed = seed;
       settings.away_from = settings.away_until = Duration::zero();
-      const OriginOutageResult result = play(settings);
+      const OriginOutageResult result = run_simulation(settings);
       CPPUNIT_ASSERT_EQUAL(0U, result.incomplete);
       CPPUNIT_ASSERT(result.origin_copies < 1.3);
-      assert_prompt(result, copy_seconds(settings));
+      assert_completes_promptly(result, copy_seconds(settings));
     }
   }
 
   /// Half a second after the naming the origin was away for 6 s.
-  void a_narrow_origin_that_was_away_is_used_at_once() {
+  void a_narrow_origin_is_used_at_once_after_an_outage() {
     for (std::uint32_t seed = 1; seed <= 3; ++seed) {
       OriginOutageSettings settings = narrow_origin();
       settings.seed = seed;
       settings.away_from = milliseconds(500);
       settings.away_until = milliseconds(6500);
-      const OriginOutageResult result = play(settings);
+      const OriginOutageResult result = run_simulation(settings);
       CPPUNIT_ASSERT_EQUAL(0U, result.incomplete);
       CPPUNIT_ASSERT(result.origin_copies < 1.5);
-      const double away_s = to_seconds(settings.away_until - settings.away_from);
-      assert_prompt(result, copy_seconds(settings) + away_s, away_s);
+      const double outage_s = to_seconds(settings.away_until - settings.away_from);
+      assert_completes_promptly(result, copy_seconds(settings) + outage_s, outage_s);
     }
   }
 
   /// With all connections in use a chunk takes 5.7 s.
-  void an_origin_so_narrow_that_a_chunk_takes_seconds_sends_little_twice() {
+  void a_very_narrow_origin_sends_few_chunks_twice() {
     OriginOutageSettings settings = narrow_origin();
     settings.away_from = settings.away_until = Duration::zero();
     settings.origin_bytes_per_second = 2e6 / 8;
-    const OriginOutageResult result = play(settings);
+    const OriginOutageResult result = run_simulation(settings);
     CPPUNIT_ASSERT_EQUAL(0U, result.incomplete);
     CPPUNIT_ASSERT(result.origin_copies < 1.3);
-    assert_prompt(result, copy_seconds(settings));
+    assert_completes_promptly(result, copy_seconds(settings));
   }
 
  private:
@@ -120,8 +120,9 @@
 
   /// The first copy is whole soon after the origin's link can have carried it, and the others
   /// follow closely.
-  static void assert_prompt(const OriginOutageResult& result, double least_s, double away_s = 0) {
-    CPPUNIT_ASSERT(result.first_complete_s < away_s + 1.2 * (least_s - away_s) + 0.6);
+  static void assert_completes_promptly(const OriginOutageResult& result, double minimum_s,
+                                        double outage_s = 0) {
+    CPPUNIT_ASSERT(result.first_complete_s < outage_s + 1.2 * (minimum_s - outage_s) + 0.6);
     CPPUNIT_ASSERT(result.half_complete_s < result.first_complete_s + 1.0);
     CPPUNIT_ASSERT(result.nine_tenths_complete_s < result.first_complete_s + 2.0);
   }
--- a/tests/swarm/owner_progress_test.cpp
+++ b/tests/swarm/owner_progress_test.cpp
@@ -6,12 +6,12 @@
 
 class OwnerProgressTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(OwnerProgressTest);
-  CPPUNIT_TEST(owners_that_go_on_alike_do_not_lag);
-  CPPUNIT_TEST(an_owner_that_brings_nothing_lags_soon);
-  CPPUNIT_TEST(an_owner_that_became_slow_on_the_way_lags_near_the_end);
+  CPPUNIT_TEST(owners_with_equal_progress_do_not_lag);
+  CPPUNIT_TEST(an_owner_without_progress_lags_early);
+  CPPUNIT_TEST(an_owner_that_slows_down_lags_near_the_end);
   CPPUNIT_TEST(a_single_missing_chunk_counts_only_at_the_very_end);
-  CPPUNIT_TEST(nobody_lags_while_the_origin_gives_nothing);
-  CPPUNIT_TEST(a_single_owner_is_compared_with_nobody);
+  CPPUNIT_TEST(no_owner_lags_while_the_origin_sends_nothing);
+  CPPUNIT_TEST(a_single_owner_never_lags);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr PeerId kSlow = 99;
@@ -25,7 +25,7 @@
   }
 
  public:
-  void owners_that_go_on_alike_do_not_lag() {
+  void owners_with_equal_progress_do_not_lag() {
     for (std::uint32_t appeared = 0; appeared <= 14; ++appeared) {
       CPPUNIT_ASSERT(find_lagging_owners(owners(appeared, appeared)).empty());
     }
@@ -33,13 +33,13 @@
     CPPUNIT_ASSERT(find_lagging_owners(owners(12, 9)).empty());
   }
 
-  void an_owner_that_brings_nothing_lags_soon() {
+  void an_owner_without_progress_lags_early() {
     CPPUNIT_ASSERT(find_lagging_owners(owners(2, 0)).empty());  // Too early to tell.
     CPPUNIT_ASSERT(find_lagging_owners(owners(3, 0)) == std::set<PeerId>{kSlow});
     CPPUNIT_ASSERT(find_lagging_owners(owners(7, 2)) == std::set<PeerId>{kSlow});
   }
 
-  void an_owner_that_became_slow_on_the_way_lags_near_the_end() {
+  void an_owner_that_slows_down_lags_near_the_end() {
     CPPUNIT_ASSERT(find_lagging_owners(owners(12, 6)).empty());
     CPPUNIT_ASSERT(find_lagging_owners(owners(13, 6)) == std::set<PeerId>{kSlow});
   }
@@ -53,11 +53,11 @@
     CPPUNIT_ASSERT(find_lagging_owners(few) == std::set<PeerId>{kSlow});
   }
 
-  void nobody_lags_while_the_origin_gives_nothing() {
+  void no_owner_lags_while_the_origin_sends_nothing() {
     CPPUNIT_ASSERT(find_lagging_owners(owners(0, 0)).empty());
   }
 
-  void a_single_owner_is_compared_with_nobody() {
+  void a_single_owner_never_lags() {
     CPPUNIT_ASSERT(find_lagging_owners({{kSlow, {10, 0}}}).empty());
     CPPUNIT_ASSERT(find_lagging_owners({}).empty());
   }
--- a/tests/swarm/swarm_membership_test.cpp
+++ b/tests/swarm/swarm_membership_test.cpp
@@ -25,8 +25,8 @@
 class SwarmMembershipTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SwarmMembershipTest);
   CPPUNIT_TEST(neighbours_are_symmetric_bounded_and_within_the_region);
-  CPPUNIT_TEST(every_chunk_has_one_owner_and_one_bringer_a_region);
-  CPPUNIT_TEST(a_death_moves_only_the_dead_machines_chunks);
+  CPPUNIT_TEST(every_chunk_has_one_owner_overall_and_one_in_each_region);
+  CPPUNIT_TEST(removing_a_member_moves_only_its_chunks);
   CPPUNIT_TEST(owners_share_the_chunks_evenly);
   CPPUNIT_TEST(no_owner_of_few_chunks_has_more_than_its_share);
   CPPUNIT_TEST(with_bounded_shares_each_chunk_has_distinct_ranked_owners);
@@ -52,22 +52,22 @@
     }
   }
 
-  void every_chunk_has_one_owner_and_one_bringer_a_region() {
+  void every_chunk_has_one_owner_overall_and_one_in_each_region() {
     const SwarmMembership membership(make_participants(60, 3), 7);
     for (ChunkIndex chunk = 0; chunk < 500; ++chunk) {
       const SwarmParticipant* owner = membership.owner(chunk, 0);
       CPPUNIT_ASSERT(owner != nullptr);
       CPPUNIT_ASSERT(owner != membership.owner(chunk, 1));
       for (std::uint32_t region = 0; region < 3; ++region) {
-        const SwarmParticipant* bringer = membership.region_owner(chunk, region, 0);
-        CPPUNIT_ASSERT_EQUAL(region, bringer->region);
-        if (region == owner->region) CPPUNIT_ASSERT(bringer == owner);
+        const SwarmParticipant* regional_owner = membership.region_owner(chunk, region, 0);
+        CPPUNIT_ASSERT_EQUAL(region, regional_owner->region);
+        if (region == owner->region) CPPUNIT_ASSERT(regional_owner == owner);
       }
     }
     CPPUNIT_ASSERT(membership.owner(0, 60) == nullptr);
   }
 
-  void a_death_moves_only_the_dead_machines_chunks() {
+  void removing_a_member_moves_only_its_chunks() {
     auto participants = make_participants(60, 3);
     const SwarmMembership before(participants, 7);
     const PeerId dead = participants[17].id;
@@ -97,18 +97,18 @@
     constexpr ChunkIndex kChunks = 96;
     const auto participants = make_participants(20, 3);
     const SwarmMembership membership(participants, 7, kChunks);
-    std::map<PeerId, std::uint32_t> brought;
-    std::map<PeerId, std::uint32_t> drawn;
+    std::map<PeerId, std::uint32_t> region_fetches;
+    std::map<PeerId, std::uint32_t> origin_fetches;
     for (ChunkIndex chunk = 0; chunk < kChunks; ++chunk) {
-      ++drawn[membership.owner(chunk, 0)->id];
+      ++origin_fetches[membership.owner(chunk, 0)->id];
       for (std::uint32_t region = 0; region < 3; ++region) {
-        ++brought[membership.region_owner(chunk, region, 0)->id];
+        ++region_fetches[membership.region_owner(chunk, region, 0)->id];
       }
     }
     // Regions of 7, 7 and 6 members: shares of 14, 14 and 16; 96 draws by 20 are 4.8 each.
     for (const SwarmParticipant& participant : participants) {
-      CPPUNIT_ASSERT(brought[participant.id] <= (participant.region == 2 ? 16U : 14U));
-      CPPUNIT_ASSERT(drawn[participant.id] <= 7U);
+      CPPUNIT_ASSERT(region_fetches[participant.id] <= (participant.region == 2 ? 16U : 14U));
+      CPPUNIT_ASSERT(origin_fetches[participant.id] <= 7U);
     }
   }
 
--- a/tests/swarm/swarm_test.cpp
+++ b/tests/swarm/swarm_test.cpp
@@ -31,24 +31,24 @@
 
 class SwarmTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SwarmTest);
-  CPPUNIT_TEST(keeps_within_its_windows);
-  CPPUNIT_TEST(asks_again_elsewhere_after_a_stall);
-  CPPUNIT_TEST(a_busy_peer_is_not_taken_for_a_stalled_one);
-  CPPUNIT_TEST(avoids_who_corrupts_often_but_not_a_lossy_honest_peer);
-  CPPUNIT_TEST(serves_who_is_furthest_behind_first);
-  CPPUNIT_TEST(refuses_what_it_does_not_hold);
+  CPPUNIT_TEST(open_requests_stay_within_the_windows);
+  CPPUNIT_TEST(requests_from_another_peer_after_a_stall);
+  CPPUNIT_TEST(a_busy_peer_does_not_count_as_stalled);
+  CPPUNIT_TEST(avoids_a_peer_that_often_corrupts_but_not_one_on_a_lossy_link);
+  CPPUNIT_TEST(serves_the_peer_with_least_progress_first);
+  CPPUNIT_TEST(refuses_chunks_that_it_does_not_hold);
   CPPUNIT_TEST(a_late_duplicate_is_counted_and_not_announced);
-  CPPUNIT_TEST(a_paused_swarm_asks_for_nothing_but_passes_on);
-  CPPUNIT_TEST(completes_once_and_tells_its_neighbours);
-  CPPUNIT_TEST(a_lost_peers_chunks_are_asked_for_elsewhere);
-  CPPUNIT_TEST(hostile_indices_are_ignored);
-  CPPUNIT_TEST(who_joins_late_draws_only_what_no_neighbour_holds);
+  CPPUNIT_TEST(a_paused_swarm_requests_nothing_but_still_uploads);
+  CPPUNIT_TEST(completes_once_and_announces_to_its_neighbours);
+  CPPUNIT_TEST(chunks_of_a_lost_peer_are_requested_elsewhere);
+  CPPUNIT_TEST(invalid_chunk_indices_are_ignored);
+  CPPUNIT_TEST(a_late_joiner_fetches_from_the_origin_only_what_no_neighbour_holds);
   CPPUNIT_TEST(a_narrow_link_refuses_a_long_queue);
   CPPUNIT_TEST(chunks_of_a_lagging_owner_are_taken_over);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void keeps_within_its_windows() {
+  void open_requests_stay_within_the_windows() {
     Swarm swarm = make_swarm();
     SwarmActions actions;
     swarm.on_membership(membership(), now_, actions);
@@ -63,7 +63,7 @@
     CPPUNIT_ASSERT(swarm.chunks_in_memory() <= 6);
   }
 
-  void asks_again_elsewhere_after_a_stall() {
+  void requests_from_another_peer_after_a_stall() {
     Swarm swarm = make_swarm();
     SwarmActions actions;
     swarm.on_membership(membership(), now_, actions);
@@ -83,7 +83,7 @@
 
   /// Large chunks on slow links: the answer to the last request of a window may take many
   /// times longer than the first. As long as the peer delivers, nothing is cancelled.
-  void a_busy_peer_is_not_taken_for_a_stalled_one() {
+  void a_busy_peer_does_not_count_as_stalled() {
     Swarm swarm = make_swarm();
     SwarmActions actions;
     swarm.on_membership(membership(), now_, actions);
@@ -98,7 +98,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, swarm.counters().request_timeouts);
   }
 
-  void avoids_who_corrupts_often_but_not_a_lossy_honest_peer() {
+  void avoids_a_peer_that_often_corrupts_but_not_one_on_a_lossy_link() {
     Swarm swarm = make_swarm();
     SwarmActions actions;
     swarm.on_membership(membership(), now_, actions);
@@ -129,7 +129,7 @@
     }
   }
 
-  void serves_who_is_furthest_behind_first() {
+  void serves_the_peer_with_least_progress_first() {
     Swarm swarm(options(), all_chunks());
     SwarmActions actions;
     swarm.on_membership(membership(), now_, actions);
@@ -148,7 +148,7 @@
     CPPUNIT_ASSERT(find_actions<SendChunk>(actions).empty());
   }
 
-  void refuses_what_it_does_not_hold() {
+  void refuses_chunks_that_it_does_not_hold() {
     Swarm swarm = make_swarm();
     SwarmActions actions;
     swarm.on_membership(membership(), now_, actions);
@@ -172,7 +172,7 @@
     CPPUNIT_ASSERT_EQUAL(ChunkIndex{1}, swarm.have().count());
   }
 
-  void a_paused_swarm_asks_for_nothing_but_passes_on() {
+  void a_paused_swarm_requests_nothing_but_still_uploads() {
     Swarm swarm = make_swarm();
     SwarmActions actions;
     swarm.set_paused(true, now_, actions);
@@ -190,7 +190,7 @@
     CPPUNIT_ASSERT(!find_actions<RequestFromPeer>(actions).empty());
   }
 
-  void completes_once_and_tells_its_neighbours() {
+  void completes_once_and_announces_to_its_neighbours() {
     Swarm swarm = make_swarm();
     SwarmActions actions;
     swarm.on_membership(membership(), now_, actions);
@@ -207,7 +207,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{kChunks}, announced.size());
   }
 
-  void a_lost_peers_chunks_are_asked_for_elsewhere() {
+  void chunks_of_a_lost_peer_are_requested_elsewhere() {
     Swarm swarm = make_swarm();
     SwarmActions actions;
     swarm.on_membership(membership(), now_, actions);
@@ -231,7 +231,7 @@
     }
   }
 
-  void hostile_indices_are_ignored() {
+  void invalid_chunk_indices_are_ignored() {
     Swarm swarm = make_swarm();
     SwarmActions actions;
     swarm.on_membership(membership(), now_, actions);
@@ -246,9 +246,9 @@
     CPPUNIT_ASSERT_EQUAL(ChunkIndex{0}, swarm.have().count());
   }
 
-  void who_joins_late_draws_only_what_no_neighbour_holds() {
+  void a_late_joiner_fetches_from_the_origin_only_what_no_neighbour_holds() {
     SwarmOptions late = options();
-    late.draw_delay = milliseconds(80);
+    late.external_fetch_delay = milliseconds(80);
     Swarm swarm(late, ChunkSet(kChunks));
     SwarmActions actions;
     swarm.on_membership(membership(), now_, actions);
@@ -304,9 +304,10 @@
     now_ += milliseconds(200);
     swarm.on_tick(now_, actions);
     swarm.on_tick(now_, actions);
-    const auto draws = find_actions<RequestFromOrigin>(actions);
-    CPPUNIT_ASSERT(!draws.empty());
-    for (const RequestFromOrigin& draw : draws) CPPUNIT_ASSERT(of_lagging.contains(draw.chunk));
+    const auto origin_requests = find_actions<RequestFromOrigin>(actions);
+    CPPUNIT_ASSERT(!origin_requests.empty());
+    for (const RequestFromOrigin& origin_request : origin_requests)
+      CPPUNIT_ASSERT(of_lagging.contains(origin_request.chunk));
   }
 
  private:
--- a/tests/swarm/swarm_times_test.cpp
+++ b/tests/swarm/swarm_times_test.cpp
@@ -1,25 +1,25 @@
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "swarm/appearance_watch.h"
 #include "swarm/response_times.h"
+#include "swarm/starvation_detector.h"
 
 namespace pumicemast {
 
 /// When a swarm takes requests for failed and owners for gone.
 class SwarmTimesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SwarmTimesTest);
-  CPPUNIT_TEST(a_timeout_follows_the_usual_response_within_its_limits);
+  CPPUNIT_TEST(the_timeout_follows_the_average_response_time_within_limits);
   CPPUNIT_TEST(failures_lengthen_the_timeout_until_something_arrives);
-  CPPUNIT_TEST(the_end_game_waits_less);
-  CPPUNIT_TEST(starvation_follows_the_usual_gap);
-  CPPUNIT_TEST(an_outage_is_not_taken_for_usual);
+  CPPUNIT_TEST(the_end_game_timeout_is_shorter);
+  CPPUNIT_TEST(starvation_follows_the_average_gap);
+  CPPUNIT_TEST(an_outage_does_not_change_the_average_gap);
   CPPUNIT_TEST_SUITE_END();
 
   ResponseTimes times{{seconds(10), seconds(1), seconds(60)}};
   TimePoint now{seconds(100)};
 
  public:
-  void a_timeout_follows_the_usual_response_within_its_limits() {
+  void the_timeout_follows_the_average_response_time_within_limits() {
     CPPUNIT_ASSERT(times.timeout() == seconds(10));
     times.on_response(milliseconds(500));
     CPPUNIT_ASSERT(times.timeout() == seconds(3));
@@ -33,38 +33,38 @@
 
   void failures_lengthen_the_timeout_until_something_arrives() {
     times.on_response(milliseconds(500));
-    times.on_expiry();
+    times.on_timeout();
     CPPUNIT_ASSERT(times.timeout() == seconds(6));
-    times.on_expiry();
+    times.on_timeout();
     CPPUNIT_ASSERT(times.timeout() == seconds(12));
     times.on_arrival();
     CPPUNIT_ASSERT(times.timeout() == seconds(6));
   }
 
-  void the_end_game_waits_less() {
+  void the_end_game_timeout_is_shorter() {
     times.on_response(milliseconds(500));
     CPPUNIT_ASSERT(times.end_game_timeout() == milliseconds(1500));
   }
 
-  void starvation_follows_the_usual_gap() {
-    AppearanceWatch watch(seconds(1));
-    watch.restart(now);
-    CPPUNIT_ASSERT(!watch.starved(now + milliseconds(3999)));  // The first may be slow to come.
-    CPPUNIT_ASSERT(watch.starved(now + seconds(4)));
+  void starvation_follows_the_average_gap() {
+    StarvationDetector detector(seconds(1));
+    detector.restart(now);
+    CPPUNIT_ASSERT(!detector.starved(now + milliseconds(3999)));  // The first may be slow to come.
+    CPPUNIT_ASSERT(detector.starved(now + seconds(4)));
     now += milliseconds(500);
-    watch.on_appearance(now);
-    CPPUNIT_ASSERT(watch.takeover_interval() == seconds(8));  // Sixteen usual gaps.
-    CPPUNIT_ASSERT(!watch.starved(now + seconds(7)));
+    detector.on_chunk_appeared(now);
+    CPPUNIT_ASSERT(detector.takeover_interval() == seconds(8));  // Sixteen usual gaps.
+    CPPUNIT_ASSERT(!detector.starved(now + seconds(7)));
   }
 
-  void an_outage_is_not_taken_for_usual() {
-    AppearanceWatch watch(seconds(1));
-    watch.restart(now);
-    watch.on_appearance(now + milliseconds(100));
-    const Duration before = watch.takeover_interval();
-    watch.on_takeover(now + seconds(20));
-    watch.on_appearance(now + seconds(40));
-    CPPUNIT_ASSERT(watch.takeover_interval() == before);
+  void an_outage_does_not_change_the_average_gap() {
+    StarvationDetector detector(seconds(1));
+    detector.restart(now);
+    detector.on_chunk_appeared(now + milliseconds(100));
+    const Duration before = detector.takeover_interval();
+    detector.on_takeover(now + seconds(20));
+    detector.on_chunk_appeared(now + seconds(40));
+    CPPUNIT_ASSERT(detector.takeover_interval() == before);
   }
 };
 
--- a/tests/swarm/swarm_uploads_test.cpp
+++ b/tests/swarm/swarm_uploads_test.cpp
@@ -6,11 +6,11 @@
 
 class SwarmUploadsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SwarmUploadsTest);
-  CPPUNIT_TEST(what_the_link_takes_is_sent_and_the_rest_waits);
-  CPPUNIT_TEST(who_finds_the_queue_full_is_refused);
-  CPPUNIT_TEST(a_narrow_link_has_a_short_queue_until_it_is_wide_again);
+  CPPUNIT_TEST(chunks_beyond_the_upload_slots_wait);
+  CPPUNIT_TEST(requests_beyond_the_queue_limit_are_refused);
+  CPPUNIT_TEST(a_narrow_link_has_a_short_queue_until_its_slots_grow);
   CPPUNIT_TEST(subscribers_get_a_chunk_once_it_is_held);
-  CPPUNIT_TEST(who_cancelled_or_left_gets_nothing);
+  CPPUNIT_TEST(cancelled_requests_and_lost_peers_get_nothing);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr std::uint32_t kSlots = 2;
@@ -21,9 +21,11 @@
   SwarmUploads uploads{kSlots, kQueueLimit};
   SwarmActions actions;
 
-  void ask(PeerId peer, ChunkIndex chunk) { uploads.on_request({peer, chunk, 0, false}, actions); }
+  void request(PeerId peer, ChunkIndex chunk) {
+    uploads.on_request({peer, chunk, 0, false}, actions);
+  }
   template <class Action>
-  std::vector<Action> take() const {
+  std::vector<Action> actions_of_type() const {
     std::vector<Action> found;
     for (const SwarmAction& action : actions) {
       if (const auto* typed = std::get_if<Action>(&action)) found.push_back(*typed);
@@ -32,31 +34,32 @@
   }
 
  public:
-  void what_the_link_takes_is_sent_and_the_rest_waits() {
-    for (ChunkIndex chunk = 0; chunk < 3; ++chunk) ask(kPeer, chunk);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{kSlots}, take<SendChunk>().size());
+  void chunks_beyond_the_upload_slots_wait() {
+    for (ChunkIndex chunk = 0; chunk < 3; ++chunk) request(kPeer, chunk);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{kSlots}, actions_of_type<SendChunk>().size());
     CPPUNIT_ASSERT_EQUAL(kSlots, uploads.active());
     uploads.on_sent(actions);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, take<SendChunk>().size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, actions_of_type<SendChunk>().size());
     uploads.on_sent(actions);
     uploads.on_sent(actions);
     CPPUNIT_ASSERT_EQUAL(0U, uploads.active());
   }
 
-  void who_finds_the_queue_full_is_refused() {
-    for (ChunkIndex chunk = 0; chunk < kSlots + kQueueLimit + 1; ++chunk) ask(kPeer, chunk);
-    const auto refused = take<RefuseChunk>();
+  void requests_beyond_the_queue_limit_are_refused() {
+    for (ChunkIndex chunk = 0; chunk < kSlots + kQueueLimit + 1; ++chunk) request(kPeer, chunk);
+    const auto refused = actions_of_type<RefuseChunk>();
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, refused.size());
     CPPUNIT_ASSERT_EQUAL(kSlots + kQueueLimit, refused.front().chunk);
   }
 
-  void a_narrow_link_has_a_short_queue_until_it_is_wide_again() {
+  void a_narrow_link_has_a_short_queue_until_its_slots_grow() {
     uploads.set_slots(1);
-    for (ChunkIndex chunk = 0; chunk < 6; ++chunk) ask(kPeer, chunk);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, take<RefuseChunk>().size());  // One sent, four wait.
+    for (ChunkIndex chunk = 0; chunk < 6; ++chunk) request(kPeer, chunk);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1},
+                         actions_of_type<RefuseChunk>().size());  // One sent, four wait.
     uploads.set_slots(kSlots);
-    ask(kPeer, 6);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, take<RefuseChunk>().size());
+    request(kPeer, 6);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, actions_of_type<RefuseChunk>().size());
   }
 
   void subscribers_get_a_chunk_once_it_is_held() {
@@ -66,23 +69,24 @@
     CPPUNIT_ASSERT(actions.empty());
     uploads.on_held(3, actions);
     uploads.on_held(3, actions);
-    const auto sent = take<SendChunk>();
+    const auto sent = actions_of_type<SendChunk>();
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sent.size());
     CPPUNIT_ASSERT_EQUAL(kPeer, sent.front().peer);
   }
 
-  void who_cancelled_or_left_gets_nothing() {
-    ask(kOther, 0);
-    ask(kOther, 1);  // Both slots are taken.
-    ask(kPeer, 2);
-    ask(kPeer, 3);
+  void cancelled_requests_and_lost_peers_get_nothing() {
+    request(kOther, 0);
+    request(kOther, 1);  // Both slots are taken.
+    request(kPeer, 2);
+    request(kPeer, 3);
     uploads.on_subscription(kPeer, 4);
     uploads.on_cancel(kPeer, 2);
     uploads.on_cancel(kPeer, 4);
     uploads.on_peer_lost(kPeer);
     uploads.on_sent(actions);
     uploads.on_held(4, actions);
-    for (const SendChunk& sent : take<SendChunk>()) CPPUNIT_ASSERT_EQUAL(kOther, sent.peer);
+    for (const SendChunk& sent : actions_of_type<SendChunk>())
+      CPPUNIT_ASSERT_EQUAL(kOther, sent.peer);
   }
 };
 
