--- a/src/transfer/downlink_pacer.cpp
+++ b/src/transfer/downlink_pacer.cpp
@@ -4,7 +4,7 @@
 namespace {
 
 /// Shorter pauses are not worth a timer.
-constexpr Duration kShortestPause = milliseconds(1);
+constexpr Duration kMinimumPause = milliseconds(1);
 
 }  // namespace
 
@@ -13,7 +13,7 @@
   const TimePoint now = loop_now();
   bucket_.take_into_debt(static_cast<double>(bytes), now);
   const Duration wait = bucket_.time_until(0, now);
-  if (wait < kShortestPause || timer_.active()) return;
+  if (wait < kMinimumPause || timer_.active()) return;
   links_.set_reading(false);
   timer_.start_once(wait, [this] { links_.set_reading(true); });
 }
--- a/src/transfer/uplink_pacer.cpp
+++ b/src/transfer/uplink_pacer.cpp
@@ -6,10 +6,10 @@
 namespace {
 
 /// Bytes that may wait in one connection before an upload slot is freed.
-constexpr std::size_t kUndrainedLimit = 4U << 20U;
+constexpr std::size_t kMaximumUndrainedBytes = 4U << 20U;
 /// Timers fire late by milliseconds, which is a fifth of the time that a small chunk takes.
 /// What the link could have carried meanwhile is made up for, up to this much of its time.
-constexpr double kLatenessMadeUpSeconds = 0.02;
+constexpr double kTimerDelayAllowanceSeconds = 0.02;
 
 }  // namespace
 
@@ -19,7 +19,7 @@
       links_(links),
       metrics_(metrics),
       on_sent_(std::move(on_sent)),
-      bucket_(bytes_per_second, bytes_per_second * kLatenessMadeUpSeconds) {}
+      bucket_(bytes_per_second, bytes_per_second * kTimerDelayAllowanceSeconds) {}
 
 void UplinkPacer::push(ChunkUpload upload) {
   waiting_.push_back(std::move(upload));
@@ -41,8 +41,8 @@
   message.chunk = upload.chunk;
   const auto* bytes = reinterpret_cast<const std::uint8_t*>(upload.bytes->data());
   message.bytes.assign(bytes, bytes + upload.bytes->size());
-  if (upload.asked_at != TimePoint{}) {
-    message.held_us = static_cast<std::uint32_t>((loop_now() - upload.asked_at).count());
+  if (upload.requested_at != TimePoint{}) {
+    message.held_us = static_cast<std::uint32_t>((loop_now() - upload.requested_at).count());
   }
   links_.send(upload.peer, message);
   metrics_.count("pumicemast_transfer_sent_bytes_total", {},
@@ -65,7 +65,7 @@
       });
       return;
     }
-    if (links_.queued_bytes(upload.peer) > kUndrainedLimit) {
+    if (links_.queued_bytes(upload.peer) > kMaximumUndrainedBytes) {
       undrained_[upload.peer].push_back(upload);
     } else {
       on_sent_(upload);
--- a/src/transfer/uplink_pacer.h
+++ b/src/transfer/uplink_pacer.h
@@ -21,8 +21,8 @@
   PeerId peer = 0;
   ChunkIndex chunk = 0;
   ChunkCache::Bytes bytes;
-  int priority = 0;      ///< Of the version's rollout; higher goes first.
-  TimePoint asked_at{};  ///< When the peer's request came; zero when that is not known.
+  int priority = 0;          ///< Of the version's rollout; higher goes first.
+  TimePoint requested_at{};  ///< When the peer's request came; zero when that is not known.
 };
 
 class UplinkPacer {
