--- a/src/swarm/chunk_picker.cpp
+++ b/src/swarm/chunk_picker.cpp
@@ -36,7 +36,7 @@
   const auto& open_words = open_.words();
   const std::size_t word_count = open_words.size();
   if (word_count == 0) return std::nullopt;
-  // Starting anywhere breaks ties at random without a second pass.
+  // A random starting position breaks ties without a second pass.
   const std::size_t first = policy_ == PickPolicy::sequential ? 0 : random_() % word_count;
   const unsigned rotation = policy_ == PickPolicy::sequential ? 0 : random_() % ChunkSet::kWordBits;
   std::optional<ChunkIndex> best;
--- a/src/swarm/chunk_picker.h
+++ b/src/swarm/chunk_picker.h
@@ -1,8 +1,8 @@
-/// Chooses the next chunk to ask a neighbour for: the one that fewest neighbours hold.
+/// Chooses the next chunk to request from a neighbour: the one that the fewest neighbours hold.
 ///
-/// Rarest first keeps every chunk spreading, so that towards the end each agent still has
-/// something that its neighbours lack. Ties are broken at random, since agents that all
-/// prefer the same chunk would leave the others' uplinks idle.
+/// Rarest first keeps all chunks spreading, so that each agent still holds chunks that its
+/// neighbours lack towards the end of a download. Ties are broken at random: if all agents
+/// preferred the same chunk, the uplinks of the holders of other chunks would be idle.
 #pragma once
 
 #include <cstdint>
@@ -21,13 +21,13 @@
   ChunkPicker(ChunkSet have, PickPolicy policy, std::uint64_t seed);
 
   const ChunkSet& have() const { return have_; }
-  /// Chunks that are neither held nor on their way.
+  /// Chunks that are neither held nor requested.
   const ChunkSet& open() const { return open_; }
   std::uint32_t availability(ChunkIndex chunk) const { return availability_[chunk]; }
 
   void on_neighbour_has(ChunkIndex chunk) { ++availability_[chunk]; }
   void on_neighbour_lost(const ChunkSet& held);
-  /// `chunk` was asked for: it is not open until it arrives or fails.
+  /// `chunk` has been requested: it is not open until the request fails.
   void on_requested(ChunkIndex chunk) { open_.erase(chunk); }
   void on_request_failed(ChunkIndex chunk);
   /// @return whether `chunk` was new.
--- a/src/swarm/chunk_set.h
+++ b/src/swarm/chunk_set.h
@@ -29,7 +29,7 @@
     ++count_;
     return true;
   }
-  /// @return whether `chunk` was there.
+  /// @return whether `chunk` was in the set.
   bool erase(ChunkIndex chunk) {
     if (!contains(chunk)) return false;
     words_[chunk / kWordBits] &= ~(std::uint64_t{1} << (chunk % kWordBits));
@@ -48,7 +48,7 @@
     }
   }
 
-  /// One bit a chunk, least significant first.
+  /// One bit per chunk, least significant bit first.
   std::vector<std::uint8_t> to_bytes() const {
     std::vector<std::uint8_t> bytes((size_ + 7) / 8, 0);
     for_each([&](ChunkIndex chunk) {
@@ -56,7 +56,8 @@
     });
     return bytes;
   }
-  /// Reads to_bytes() of a set of `size`; missing bytes are absent chunks, extra ones ignored.
+  /// Reads to_bytes() of a set of `size`. Chunks of missing bytes are absent; extra bytes are
+  /// ignored.
   static ChunkSet from_bytes(ChunkIndex size, const std::uint8_t* bytes, std::size_t length) {
     ChunkSet set(size);
     for (ChunkIndex chunk = 0; chunk < size && chunk / 8 < length; ++chunk) {
--- a/src/swarm/chunk_subscribers.h
+++ b/src/swarm/chunk_subscribers.h
@@ -1,4 +1,4 @@
-/// Peers of other regions that wait for chunks this agent is to draw from the origin.
+/// Peers of other regions that wait for chunks which this agent has to fetch from the origin.
 #pragma once
 
 #include <map>
@@ -17,7 +17,7 @@
     const auto found = waiting_.find(chunk);
     if (found != waiting_.end()) std::erase(found->second, peer);
   }
-  /// Those that wait for a chunk that is here now; they wait no longer.
+  /// Returns and removes the peers that wait for `chunk`, which is held now.
   std::vector<PeerId> take(ChunkIndex chunk) {
     auto node = waiting_.extract(chunk);
     return node.empty() ? std::vector<PeerId>{} : std::move(node.mapped());
--- a/src/swarm/external_fetch_planner.cpp
+++ b/src/swarm/external_fetch_planner.cpp
@@ -5,12 +5,12 @@
 namespace pumicemast {
 namespace {
 
-/// Machines of other regions that are asked in turn before the origin.
+/// Members of other regions that are asked in turn before the origin.
 constexpr std::size_t kOtherRegionSources = 3;
-/// Ranks looked through for them; enough unless nearly all members are in one region.
+/// Ranks searched for such members; enough unless nearly all members are in one region.
 constexpr std::size_t kRanksSearched = 12;
-/// Ranks that step in one after the other before the first is asked again. All of them
-/// failing means a fault that more agents would not mend.
+/// Ranks that take over one after the other before the first is used again. If all of them fail,
+/// the fault is one that further agents can't work around.
 constexpr std::uint32_t kTakeoverRanks = 12;
 
 }  // namespace
@@ -20,7 +20,7 @@
   task.from_origin = from_origin;
   task.takeover = takeover;
   task.origin_allowed = from_origin || takeover;
-  // Who takes over asks the other regions first: they may have the chunk by now.
+  // After a takeover other regions are asked first: they may hold the chunk by now.
   task.step = from_origin && takeover ? 1 : 0;
   tasks_.emplace(chunk, task);
 }
@@ -47,14 +47,14 @@
 void ExternalFetchPlanner::take_over(ChunkIndex chunk, bool fetches_from_origin) {
   const auto known = tasks_.find(chunk);
   if (known != tasks_.end()) {
-    // Bringing it in was a duty here already; now nobody else draws it from the origin.
+    // The chunk is already a task of this agent; now no other agent fetches it from the origin.
     known->second.origin_allowed = known->second.origin_allowed || fetches_from_origin;
     return;
   }
   ++takeovers_;
   add_task(chunk, fetches_from_origin, true);
   FetchTask& task = tasks_.at(chunk);
-  // Who lags overall has brought the chunk to nobody: asking other regions would be in vain.
+  // A lagging overall owner has sent the chunk to no region, so asking other regions is futile.
   if (fetches_from_origin) task.step = 0;
   task.origin_allowed = fetches_from_origin;
 }
@@ -76,13 +76,12 @@
 bool ExternalFetchPlanner::should_try_origin(const FetchTask& task, std::size_t others,
                                              TimePoint now) const {
   if (others == 0) return true;
-  // A region's owner goes to the origin only when nobody else brings the chunk.
+  // A regional owner uses the origin only after no other agent has fetched the chunk.
   if (!task.origin_allowed) return false;
-  // While the origin fails, a rare probe is enough to see it come back: each that succeeds
-  // draws a chunk that another region may hold by then.
+  // While the origin fails, occasional probes suffice to detect its recovery. Each successful probe
+  // fetches a chunk that another region may hold by then.
   if (origin_failing_ && now < next_origin_probe_) return false;
-  // That other regions could not be reached says nothing about what they hold; that they
-  // refused does.
+  // Unreachable members of other regions may still hold the chunk; members that refused don't.
   const bool first_try = task.step == 0;
   return first_try || task.refusals >= others || !origin_failing_ || active_origin_fetches_ == 0;
 }
@@ -90,7 +89,7 @@
 std::optional<ExternalFetch> ExternalFetchPlanner::next_fetch(ChunkIndex chunk, FetchTask& task,
                                                               TimePoint now) {
   const bool window_full = active_origin_fetches_ >= options_.origin_window;
-  if (task.from_origin && task.step == 0 && window_full) return std::nullopt;  // The usual case.
+  if (task.from_origin && task.step == 0 && window_full) return std::nullopt;  // The common case.
   const std::vector<const SwarmParticipant*> others = other_region_sources(chunk);
   const std::size_t round = others.size() + 1;
   const std::size_t position = task.step % round;
@@ -136,8 +135,8 @@
 void ExternalFetchPlanner::on_origin_answered() {
   if (!origin_failing_) return;
   origin_failing_ = false;
-  // What was missing here may have reached the other regions meanwhile: they come first, or
-  // the origin would send much of it a second time.
+  // Chunks that are missing here may have reached other regions during the outage. Those regions
+  // are asked first; otherwise the origin would send many chunks a second time.
   for (auto& [chunk, task] : tasks_) {
     if (task.fetching) continue;
     task.step = task.from_origin ? 1 : 0;
@@ -177,8 +176,8 @@
   }
   for (const ChunkIndex chunk : futile_subscriptions) on_fetch_failed(chunk, Duration::zero(), now);
   if (origin_failing_) {
-    // Cut off, or the origin is down: more agents asking would not help, and would all ask
-    // at once when it comes back.
+    // This agent is cut off or the origin is down. Requests from more agents would not help, and
+    // would all reach the origin at once when it recovers.
     takeover_rank_ = 0;
     std::erase_if(
         tasks_, [](const auto& entry) { return entry.second.takeover && !entry.second.fetching; });
@@ -198,7 +197,7 @@
     ++takeovers_;
     add_task(chunk, fetches_from_origin, true);
   });
-  // The owners themselves may use the origin as a last resort from now on.
+  // From now on the owners themselves may use the origin as a last resort.
   for (auto& [chunk, task] : tasks_) task.origin_allowed = true;
   return futile_subscriptions;
 }
--- a/src/swarm/external_fetch_planner.h
+++ b/src/swarm/external_fetch_planner.h
@@ -1,9 +1,10 @@
-/// Brings chunks in from outside the neighbourhood: from the origin or from other regions.
+/// Plans which chunks this agent fetches from outside the neighbourhood: from the origin or from
+/// other regions.
 ///
-/// Each chunk has one overall owner that draws it from the origin and, in every other region,
-/// one owner that fetches it from the overall owner. They are found by hashing, so nobody
-/// hands out work. When a source fails, the next in rank is tried, other regions before the
-/// origin; when an owner brings nothing, the next in rank takes over.
+/// Each chunk has one overall owner that fetches it from the origin and, in every other region, one
+/// regional owner that fetches it from the overall owner. Owners follow from hashing, without a
+/// coordinator. When a source fails, the next in rank is tried, other regions before the origin.
+/// When an owner makes no progress, the owner next in rank takes over.
 #pragma once
 
 #include <cstdint>
@@ -22,20 +23,20 @@
 struct ExternalFetchOptions {
   PeerId self = 0;
   std::uint32_t origin_window = 2;
-  /// How many of a chunk's overall owners draw it from the origin.
+  /// How many of a chunk's overall owners fetch it from the origin.
   std::uint32_t origin_copies = 1;
-  bool origin_for_all = false;  ///< Baseline: everyone draws every chunk.
-  /// While the origin fails it is probed this often.
+  bool origin_for_all = false;  ///< Baseline: every agent fetches every chunk.
+  /// Interval between probes while the origin fails.
   Duration origin_probe_interval = seconds(10);
-  /// Pause before the sequence of sources begins again.
+  /// Pause before the sequence of sources starts again.
   Duration source_pause = seconds(1);
 };
 
-/// One request to make.
+/// A request to send now.
 struct ExternalFetch {
   ChunkIndex chunk = 0;
-  std::optional<PeerId> peer;  ///< The origin when empty.
-  /// The peer may not hold it yet and answers when it does.
+  std::optional<PeerId> peer;  ///< Empty for the origin.
+  /// The peer may not hold the chunk yet and sends it once it does.
   bool subscription = false;
 };
 
@@ -43,29 +44,29 @@
  public:
   explicit ExternalFetchPlanner(ExternalFetchOptions options) : options_(options) {}
 
-  /// Finds this agent's duties among the chunks not in `have`. Duties that go on keep their
+  /// Adds a task for each chunk not in `have` that this agent owns. Existing tasks keep their
   /// state.
   void plan(std::shared_ptr<const SwarmMembership> membership, const ChunkSet& have);
-  /// Requests to make now, for chunks in `open`.
+  /// Requests to send now, for chunks in `open`.
   std::vector<ExternalFetch> next_fetches(const ChunkSet& open, TimePoint now);
 
-  /// @return whether bringing `chunk` in was a duty of this agent.
+  /// @return whether fetching `chunk` was a task of this agent.
   bool on_received(ChunkIndex chunk);
-  /// The origin answers (again).
+  /// The origin sent a chunk; an outage of the origin, if any, is over.
   void on_origin_answered();
-  /// The source answered that it does not hold the chunk.
+  /// The source replied that it does not hold the chunk.
   void on_fetch_refused(ChunkIndex chunk, Duration pause, TimePoint now);
-  /// A draw brought nothing: the next source is tried after `pause`.
+  /// A fetch failed: the next source is tried after `pause`.
   void on_fetch_failed(ChunkIndex chunk, Duration pause, TimePoint now);
-  /// The origin refused or cannot be reached; nothing is gained by others trying too.
+  /// The origin refused the request or is unreachable; requests from other agents would not help.
   void on_origin_failed(ChunkIndex chunk, Duration pause, TimePoint now);
-  /// None of `missing` appeared for a whole takeover interval: the next in rank step in.
-  /// @return subscriptions that have waited in vain and are to be closed.
+  /// None of `missing` appeared for a whole takeover interval: the owners next in rank take over.
+  /// @return chunks whose subscriptions are futile and have to be closed.
   std::vector<ChunkIndex> on_starved(const ChunkSet& missing, TimePoint now);
-  /// An owner in front of this agent lags: its chunk becomes a duty here.
-  /// @param fetches_from_origin  from the origin; otherwise from another region.
+  /// Makes the chunk of a lagging owner of better rank a task of this agent.
+  /// @param fetches_from_origin  fetch it from the origin; otherwise from another region.
   void take_over(ChunkIndex chunk, bool fetches_from_origin);
-  /// These are asked for nothing.
+  /// Sets the peers that are not used as sources.
   void set_avoided(std::set<PeerId> avoided) { avoided_ = std::move(avoided); }
   /// Missing chunks appear again.
   void on_progress() { takeover_rank_ = 0; }
@@ -78,9 +79,9 @@
     bool takeover = false;     ///< Taken over from an owner of a better rank.
     bool origin_allowed = false;
     bool fetching = false;
-    bool fetching_from_origin = false;  ///< The draw under way is at the origin.
+    bool fetching_from_origin = false;  ///< The current fetch is from the origin.
     std::uint32_t step = 0;             ///< Position in the sequence of sources.
-    std::uint32_t refusals = 0;  ///< Other regions' machines that answered without the chunk.
+    std::uint32_t refusals = 0;         ///< Members of other regions that lacked the chunk.
     TimePoint not_before{};
   };
 
--- a/src/swarm/open_requests.h
+++ b/src/swarm/open_requests.h
@@ -1,6 +1,6 @@
-/// Which chunks an agent has asked for, whom, and since when.
+/// Open requests for chunks: the source of each and when it was sent.
 ///
-/// A decision core: no I/O. Each chunk is asked for at one peer, or drawn from the origin.
+/// A decision core: no I/O. Each chunk is requested from one peer or from the origin.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 struct PeerRequest {
   PeerId peer = 0;
   TimePoint sent{};
-  bool subscription = false;  ///< At an owner that may not have it yet.
+  bool subscription = false;  ///< Sent to an owner that may not hold the chunk yet.
 };
 
 /// Requests to other agents.
@@ -23,15 +23,16 @@
  public:
   void open(ChunkIndex chunk, const PeerRequest& request);
   void close(ChunkIndex chunk);
-  /// Null when `chunk` is asked of nobody.
+  /// Null when `chunk` is requested from no peer.
   const PeerRequest* find(ChunkIndex chunk) const;
   bool contains(ChunkIndex chunk) const { return requests_.contains(chunk); }
   std::vector<ChunkIndex> chunks_requested_from(PeerId peer) const;
-  /// Chunks whose request `has_failed(request)`.
+  /// Chunks for whose request `has_failed(request)` is true.
   template <class HasFailed>
   std::vector<ChunkIndex> select(HasFailed has_failed) const;
 
-  /// Requests that count against the window: subscriptions may wait long and cost nothing.
+  /// Requests that count against the window. Subscriptions do not: they may wait long and cost
+  /// nothing.
   std::uint32_t within_window() const { return within_window_; }
 
  private:
@@ -39,18 +40,19 @@
   std::uint32_t within_window_ = 0;
 };
 
-/// Chunks on their way from the origin.
+/// Chunks that are being fetched from the origin.
 class OriginFetches {
  public:
   void begin(ChunkIndex chunk, TimePoint now) { started_[chunk] = now; }
-  /// @return whether `chunk` was on its way.
+  /// @return whether a fetch of `chunk` was in progress.
   bool end(ChunkIndex chunk) { return started_.erase(chunk) > 0; }
-  /// `chunk` came from the origin.
+  /// The origin sent `chunk`.
   void on_arrived(ChunkIndex chunk, TimePoint now);
   bool contains(ChunkIndex chunk) const { return started_.contains(chunk); }
-  /// How long a draw takes now: the last that arrived, or one under way that takes longer.
+  /// Current duration of a fetch: that of the last completed one, or the age of the oldest fetch in
+  /// progress if that is longer.
   Duration typical_duration(TimePoint now) const;
-  /// Those on their way for `limit` or longer.
+  /// Chunks whose fetch began `limit` or longer ago.
   std::vector<ChunkIndex> older_than(Duration limit, TimePoint now) const;
   std::uint32_t count() const { return static_cast<std::uint32_t>(started_.size()); }
 
--- a/src/swarm/owner_monitor.cpp
+++ b/src/swarm/owner_monitor.cpp
@@ -5,7 +5,7 @@
 namespace pumicemast {
 namespace {
 
-/// Whether `self` is the first that does not lag of owners by rank, and not the very first.
+/// Whether owners of better ranks exist and all lag, and `self` is the first owner that does not.
 template <class OwnerOfRank>
 bool is_first_healthy_successor(PeerId self, const std::set<PeerId>& lagging,
                                 OwnerOfRank owner_of_rank) {
--- a/src/swarm/owner_monitor.h
+++ b/src/swarm/owner_monitor.h
@@ -1,7 +1,7 @@
-/// Knows which owners of chunks lag far behind the others, and who steps in for them.
+/// Detects chunk owners that lag far behind the others and decides which agent takes over.
 ///
-/// A decision core: no I/O. A machine that died, stands still or has a narrow link holds up a
-/// whole rollout by the few chunks it owns, long before chunks stop appearing altogether.
+/// A decision core: no I/O. A machine that crashed, stalled or has a narrow link delays a whole
+/// rollout by the few chunks it owns, long before chunks stop appearing altogether.
 #pragma once
 
 #include <functional>
@@ -16,20 +16,21 @@
 
 class OwnerMonitor {
  public:
-  /// @param self             this agent; it is not judged.
-  /// @param initially_held    chunks that came from elsewhere and are no owner's work.
+  /// @param self            this agent; it never counts as lagging.
+  /// @param initially_held  chunks that were held before the download; they say nothing about their
+  ///                        owners.
   OwnerMonitor(PeerId self, ChunkSet initially_held)
       : self_(self), initially_held_(std::move(initially_held)) {}
 
-  /// Compares the owners anew.
-  /// @param appeared  whether a chunk is here or at a neighbour.
+  /// Recomputes which owners lag.
+  /// @param appeared  whether a chunk is held by this agent or a neighbour.
   void compare(const SwarmMembership& membership, const std::function<bool(ChunkIndex)>& appeared);
   const std::set<PeerId>& lagging() const { return lagging_; }
 
-  /// Whether this agent is the first overall owner of `chunk` that does not lag, in place of one
-  /// that does.
+  /// Whether this agent is the first overall owner of `chunk` that does not lag, while all owners
+  /// of better rank do.
   bool takes_over_origin_fetch(const SwarmMembership& membership, ChunkIndex chunk) const;
-  /// The same within this agent's region.
+  /// The same for the owners within this agent's region.
   bool takes_over_region_fetch(const SwarmMembership& membership, ChunkIndex chunk) const;
 
  private:
--- a/src/swarm/owner_progress.cpp
+++ b/src/swarm/owner_progress.cpp
@@ -3,15 +3,16 @@
 namespace pumicemast {
 namespace {
 
-/// An owner is judged by what has appeared once so many of its chunks should have.
+/// An owner is judged once at least this many of its chunks are expected to have appeared.
 constexpr double kMinimumExpected = 2.5;
-/// It lags with less than this share of what is expected.
+/// An owner lags when at most this fraction of the expected chunks has appeared.
 constexpr double kLaggingFraction = 0.3;
-/// Near the end an owner is judged by what is missing: it lags with this much more than so many
-/// times the others' share. One whose link became narrow on the way shows only then.
+/// Near the end an owner is judged by its missing chunks. It lags when the missing fraction exceeds
+/// kMissingFactor times that of the other owners by more than kMissingMargin. This detects owners
+/// whose link became narrow during the download.
 constexpr double kMissingFactor = 3;
 constexpr double kMissingMargin = 0.2;
-/// Before the others miss as little as this, a single missing chunk is no sign.
+/// A single missing chunk counts only once the other owners miss no more than this fraction.
 constexpr double kLastChunksFraction = 0.05;
 
 bool lags_early(const OwnerProgress& owner, double others_fraction) {
--- a/src/swarm/peer_record.h
+++ b/src/swarm/peer_record.h
@@ -1,4 +1,4 @@
-/// What an agent knows of one other agent of a swarm, and whether it may be asked.
+/// What an agent knows about one other agent of a swarm, and whether it may send it requests.
 ///
 /// A decision core: no I/O.
 #pragma once
@@ -11,7 +11,8 @@
 
 namespace pumicemast {
 
-/// When a peer that sends corrupt chunks is avoided. Links corrupt chunks too, so one is no proof.
+/// When a peer that sends corrupt chunks is avoided. Links corrupt chunks too, so a single one is
+/// no proof.
 struct PeerTrust {
   double corrupt_fraction = 0.05;
   std::uint32_t minimum_corrupt = 3;
@@ -22,11 +23,12 @@
   explicit PeerRecord(ChunkIndex chunk_count = 0) : held(chunk_count) {}
 
   bool neighbour = false;
-  bool joined = false;  ///< Its have-set is known.
+  bool joined = false;  ///< Its set of held chunks is known.
   ChunkSet held;
   std::uint32_t open_requests = 0;
 
-  /// It delivered a chunk. @return whether it is avoided from now on.
+  /// The peer delivered a chunk.
+  /// @return whether the peer becomes avoided by this delivery.
   bool on_delivery(bool corrupt, const PeerTrust& trust, TimePoint now) {
     ++received_;
     stalls_ = 0;
@@ -40,13 +42,15 @@
     avoided_ = true;
     return true;
   }
-  /// It let a request expire: it is left alone, longer each time in a row.
+  /// A request to the peer timed out. The pause before the next request doubles with each
+  /// consecutive stall, up to a limit.
   void on_stall(Duration pause, TimePoint now) {
     constexpr std::uint32_t kMaximumDoublings = 4;
     not_before_ = now + pause * (1U << std::min(stalls_++, kMaximumDoublings));
   }
   void on_refusal(Duration pause, TimePoint now) { not_before_ = now + pause; }
-  /// The connection broke. What it sent stays on record: a reconnect must not clear it.
+  /// The connection broke. The counts of received and corrupt chunks and the avoidance stay, so
+  /// that a reconnect does not clear them.
   void on_lost() {
     PeerRecord kept(held.size());
     kept.received_ = received_;
@@ -63,7 +67,7 @@
   std::uint32_t received_ = 0;
   std::uint32_t corrupt_ = 0;
   std::uint32_t stalls_ = 0;
-  TimePoint not_before_{};  ///< After a stall or refusal.
+  TimePoint not_before_{};  ///< Earliest next request after a stall or refusal.
   TimePoint last_arrival_{};
 };
 
--- a/src/swarm/starvation_detector.h
+++ b/src/swarm/starvation_detector.h
@@ -1,8 +1,8 @@
-/// Tells when missing chunks have stopped appearing in the neighbourhood.
+/// Detects that missing chunks have stopped appearing in the neighbourhood.
 ///
-/// A decision core: no I/O. While owners work, new chunks appear all the time. Long before the
-/// neighbourhood has exchanged what it has, their absence tells that an owner died, stalled or is
-/// cut off.
+/// A decision core: no I/O. While owners work, new chunks appear continually. When none does, an
+/// owner crashed, stalled or is cut off; this shows long before the neighbours have exchanged all
+/// chunks that they hold.
 #pragma once
 
 #include <algorithm>
@@ -13,15 +13,15 @@
 
 class StarvationDetector {
  public:
-  /// @param interval  least time without an appearance that counts as starvation.
+  /// @param interval  minimum time without a new chunk that counts as starvation.
   explicit StarvationDetector(Duration interval) : interval_(interval) {}
 
-  /// Begins, or goes on after a pause that says nothing.
+  /// Starts the detection, also after a pause during which no chunks were expected.
   void restart(TimePoint now) { last_ = now; }
-  /// A missing chunk appeared nearby for the first time.
+  /// A missing chunk appeared in the neighbourhood for the first time.
   void on_chunk_appeared(TimePoint now) {
     const Duration gap = now - last_;
-    // Counting an outage as usual would make each next takeover wait longer.
+    // If outages counted towards the average, each takeover would wait longer than the last.
     if (gap > Duration::zero() && !interrupted_) {
       average_gap_ = average_gap_ == Duration::zero()
                          ? gap
@@ -30,18 +30,18 @@
     interrupted_ = false;
     last_ = now;
   }
-  /// How long a draw from the origin takes now, as far as it is known. Behind a narrow link all
-  /// chunks come late and at once: whoever stepped in earlier would only make them later.
+  /// Sets the current duration of a fetch from the origin, as far as known. Behind a narrow link
+  /// all chunks arrive late and at about the same time; earlier takeovers would only delay them.
   void set_origin_fetch_time(Duration origin_fetch_time) { origin_fetch_time_ = origin_fetch_time; }
-  /// Others have stepped in: the next rank follows after another interval.
+  /// Other owners have taken over: the next rank follows after another interval.
   void on_takeover(TimePoint now) {
     last_ = now;
     interrupted_ = true;
   }
-  /// Nothing appears for longer than is usual.
+  /// Whether no new chunk has appeared for the takeover interval.
   bool starved(TimePoint now) const { return now - last_ >= takeover_interval(); }
   Duration takeover_interval() const {
-    // Slow links and large chunks make chunks rare without anything being wrong.
+    // On slow links or with large chunks, new chunks are rare without any fault.
     const Duration fetch_based_interval = origin_fetch_time_ * kTakeoverFetchFactor;
     if (average_gap_ == Duration::zero()) {
       return std::max(interval_ * kFirstTakeoverScale, fetch_based_interval);
@@ -53,14 +53,14 @@
   static constexpr int kGapSmoothing = 8;
   static constexpr int kTakeoverGapFactor = 16;
   static constexpr int kTakeoverFetchFactor = 2;
-  /// Before any chunk appeared, the origin may just be slow to send the first.
+  /// Before the first chunk appears, the origin may just be slow to send it.
   static constexpr int kFirstTakeoverScale = 4;
 
   Duration interval_;
   TimePoint last_{};
   Duration average_gap_ = Duration::zero();
   Duration origin_fetch_time_ = Duration::zero();
-  bool interrupted_ = false;  ///< The next gap is an outage, not usual.
+  bool interrupted_ = false;  ///< The next gap includes an outage and is left out of the average.
 };
 
 }  // namespace pumicemast
--- a/src/swarm/swarm.cpp
+++ b/src/swarm/swarm.cpp
@@ -9,12 +9,12 @@
 constexpr Duration kTakeoverForTime = seconds(3);
 constexpr Duration kTakeoverForOriginBytes = seconds(10);
 constexpr Duration kRefusalPause = milliseconds(100);
-/// How often neighbours whose connection broke are tried again.
+/// Interval between attempts to rejoin neighbours whose connection broke.
 constexpr Duration kRejoinInterval = seconds(2);
 constexpr Duration kStallPause = seconds(2);
-/// Owners are first compared after so many intervals: before that chance decides.
+/// Owners are first compared after this many intervals; earlier differences are due to chance.
 constexpr int kFirstLagCheck = 10;
-/// Strangers that may join beyond our own choice of neighbours.
+/// Limit on neighbours beyond which agents that this agent did not choose can't join.
 constexpr std::size_t kMaximumNeighbours = 64;
 
 }  // namespace
@@ -159,7 +159,7 @@
   if (!options_.use_peers || picker_.open().count() == 0) return;
   if (requests_.within_window() >= options_.window) return;
   const std::vector<Neighbour> suppliers = shuffled_suppliers(now);
-  // One request a neighbour in each round: uplinks share the load evenly.
+  // One request per neighbour and round spreads the load evenly over the uplinks.
   for (std::uint32_t round = 0; round < options_.window_per_peer; ++round) {
     for (const Neighbour& supplier : suppliers) {
       if (requests_.within_window() >= options_.window) return;
@@ -235,7 +235,7 @@
   last_chunk_ = now;
   const bool from_outside = external_fetches_.on_received(chunk);
   if (from_outside) record_appearance(now);
-  // Late answers to an earlier request: the second request is no longer needed.
+  // The chunk answered an earlier request, so the open one is no longer needed.
   if (const PeerRequest* request = requests_.find(chunk)) {
     actions.push_back(CancelFromPeer{request->peer, chunk});
     close_request(chunk);
@@ -303,13 +303,13 @@
 }
 
 void Swarm::expire_requests(TimePoint now, SwarmActions& actions) {
-  // Once everything is asked for, one late answer is all that keeps the replica from going
-  // live: it is asked for elsewhere soon, which can double at most a window of chunks.
+  // Once all chunks are held or requested, a single late response keeps the replica from going
+  // live. Such chunks are soon requested elsewhere, which duplicates at most one window of chunks.
   const bool end_game = picker_.open().count() == 0;
   const Duration timeout = end_game ? responses_.end_game_timeout() : responses_.timeout();
   const auto expired = requests_.select([&](const PeerRequest& request) {
     const Duration limit = request.subscription ? options_.subscription_timeout : timeout;
-    // A peer that delivers other chunks meanwhile is busy, not stalled.
+    // A peer that has delivered other chunks in the meantime is busy, not stalled.
     const TimePoint last_activity =
         end_game ? request.sent : std::max(request.sent, peer(request.peer).last_arrival());
     return now - last_activity >= limit;
@@ -339,7 +339,8 @@
   if (!appears) return;
   record_appearance(now);
   if (origin_fetches_.end(chunk)) {
-    // It need not leave the origin again; most requests there are still in its queue.
+    // A neighbour holds the chunk, so the origin need not send it; most requests to the origin are
+    // still in its queue.
     external_fetches_.on_received(chunk);
     picker_.on_request_failed(chunk);
     actions.push_back(CancelFromOrigin{chunk});
--- a/src/swarm/swarm.h
+++ b/src/swarm/swarm.h
@@ -1,11 +1,11 @@
 /// One agent's part in distributing one version of weights.
 ///
-/// A decision core: no I/O. The shell moves and verifies bytes; the core decides which
-/// chunk to ask whom for, whom to send to next, and who draws a chunk from the origin.
+/// A decision core: no I/O. The shell transfers and verifies bytes. The core decides which chunk to
+/// request from which peer, which upload is next, and which chunks to fetch from the origin.
 ///
-/// How a chunk travels (docs/design/swarm.md): its overall owner draws it from the origin
-/// once; the owner in each other region gets it from there; within a region it spreads
-/// between neighbours, rarest first. An owner that fails is followed by the next in rank.
+/// The path of a chunk (docs/design/swarm.md): its overall owner fetches it from the origin once;
+/// the regional owner in each other region fetches it from the overall owner; within a region
+/// neighbours exchange it, rarest chunks first. When an owner fails, the next in rank takes over.
 ///
 /// Invariants:
 /// - a chunk is announced, sent on or counted as held only after the shell verified it;
@@ -35,7 +35,7 @@
 
 namespace pumicemast {
 
-/// How a chunk came out of the shell's verification.
+/// Result of the shell's verification of a chunk.
 enum class ChunkArrival { verified, corrupt };
 
 struct SwarmCounters {
@@ -49,22 +49,22 @@
 
 class Swarm {
  public:
-  /// @param have  chunks that are verified here already, from an earlier attempt or because
+  /// @param have  chunks that are already held and verified, from an earlier attempt or because
   ///              another version shares them.
   Swarm(SwarmOptions options, ChunkSet have);
 
-  /// Begins, or goes on with a changed list of participants.
+  /// Starts the download, or continues it with a changed list of participants.
   void on_membership(std::shared_ptr<const SwarmMembership> membership, TimePoint now,
                      SwarmActions& actions);
-  /// A neighbour told everything that it holds.
+  /// A peer joined with the set of all chunks that it holds.
   void on_peer_joined(PeerId peer, const ChunkSet& held, TimePoint now, SwarmActions& actions);
   void on_peer_has(PeerId peer, const std::vector<ChunkIndex>& chunks, TimePoint now,
                    SwarmActions& actions);
   void on_peer_lost(PeerId peer, TimePoint now, SwarmActions& actions);
-  /// A chunk arrived from `peer`, or from the origin when null.
+  /// A chunk arrived from `peer`, or from the origin when empty.
   void on_chunk(std::optional<PeerId> peer, ChunkIndex chunk, ChunkArrival arrival, TimePoint now,
                 SwarmActions& actions);
-  /// The shell copies `chunk` from another version held here: nobody is asked for it.
+  /// The shell copies `chunk` from another version held on this machine, so it is not requested.
   void on_local_copy_started(ChunkIndex chunk) { picker_.on_requested(chunk); }
   void on_local_copy_failed(ChunkIndex chunk) { picker_.on_request_failed(chunk); }
   void on_local_copy_done(ChunkIndex chunk, TimePoint now, SwarmActions& actions);
@@ -74,20 +74,20 @@
   void on_request(PeerId peer, ChunkIndex chunk, std::uint32_t progress, TimePoint now,
                   SwarmActions& actions);
   void on_cancel(PeerId peer, ChunkIndex chunk);
-  /// The link took a chunk given by SendChunk (or the peer went away).
+  /// The link accepted a chunk given by SendChunk, or the peer disconnected.
   void on_sent(TimePoint now, SwarmActions& actions);
-  /// Call at least every announce_interval.
+  /// Must be called at least every announce_interval.
   void on_tick(TimePoint now, SwarmActions& actions);
-  /// Stops or resumes asking for chunks; what is held is still passed on.
+  /// Stops or resumes requesting chunks. Held chunks are uploaded in both states.
   void set_paused(bool paused, TimePoint now, SwarmActions& actions);
-  /// Shares of the link when several versions are on their way.
+  /// Sets this version's share of the link when several versions are being transferred.
   void set_limits(std::uint32_t window, std::uint32_t upload_slots);
 
   const ChunkSet& have() const { return picker_.have(); }
   bool complete() const { return picker_.have().full(); }
   const SwarmCounters& counters() const { return counters_; }
   std::uint64_t takeovers() const { return external_fetches_.takeovers(); }
-  /// Chunks in memory or on their way: what bounds the agent's memory.
+  /// Chunks requested from neighbours or the origin, or being uploaded: bounds the agent's memory.
   std::uint32_t chunks_in_memory() const {
     return requests_.within_window() + origin_fetches_.count() + uploads_.active();
   }
@@ -95,7 +95,7 @@
  private:
   struct Neighbour {
     PeerId id = 0;
-    PeerRecord* peer = nullptr;  ///< In peers_, whose nodes stay where they are.
+    PeerRecord* peer = nullptr;  ///< Points into peers_, whose nodes do not move.
   };
 
   PeerRecord& peer(PeerId id);
@@ -108,17 +108,17 @@
   void open_request(PeerId id, ChunkIndex chunk, bool subscription, TimePoint now,
                     SwarmActions& actions);
   void close_request(ChunkIndex chunk);
-  /// The chunk may be asked for elsewhere.
+  /// Cancels the request; the chunk may be requested elsewhere.
   void abandon_request(ChunkIndex chunk, SwarmActions& actions);
   void expire_requests(TimePoint now, SwarmActions& actions);
-  /// The same for draws from the origin.
+  /// The same for fetches from the origin.
   void expire_origin_fetches(TimePoint now, SwarmActions& actions);
   void record_neighbour_has(ChunkIndex chunk, TimePoint now, SwarmActions& actions);
   void take_over_from_lagging_owners(TimePoint now, SwarmActions& actions);
   bool appeared(ChunkIndex chunk) const;
   void take_over_chunk(ChunkIndex chunk, TimePoint now, SwarmActions& actions);
   void take_over_if_starved(TimePoint now, SwarmActions& actions);
-  /// Takes down what a delivery says about its sender.
+  /// Updates the sender's record and the response times after a delivery.
   void record_delivery(PeerId source, ChunkIndex chunk, ChunkArrival arrival, TimePoint now,
                        SwarmActions& actions);
   void reject_chunk(ChunkIndex chunk, TimePoint now, SwarmActions& actions);
@@ -137,15 +137,15 @@
   std::vector<Neighbour> neighbours_;
   PeerRequests requests_;
   OriginFetches origin_fetches_;
-  TimePoint last_chunk_{};  ///< When a chunk last arrived here.
+  TimePoint last_chunk_{};  ///< When a chunk last arrived at this agent.
   ResponseTimes responses_;
   StarvationDetector starvation_;
   std::vector<ChunkIndex> unannounced_;
   TimePoint next_announcement_{};
   TimePoint next_rejoin_{};
   TimePoint next_lag_check_{};
-  TimePoint first_external_fetch_{};           ///< Nothing is drawn from outside before.
-  std::optional<OwnerMonitor> owner_monitor_;  ///< From the first list of participants on.
+  TimePoint first_external_fetch_{};           ///< Earliest request to the origin or other regions.
+  std::optional<OwnerMonitor> owner_monitor_;  ///< Set by the first list of participants.
   bool paused_ = false;
   bool reported_complete_ = false;
   std::minstd_rand random_;
--- a/src/swarm/swarm_actions.h
+++ b/src/swarm/swarm_actions.h
@@ -1,4 +1,4 @@
-/// What an agent's swarm core asks its shell to do.
+/// Actions that an agent's swarm core requests from its shell.
 #pragma once
 
 #include <cstdint>
@@ -32,16 +32,16 @@
   PeerId peer = 0;
   ChunkIndex chunk = 0;
 };
-/// Tell each of `peers` that these chunks are held here now.
+/// Announces to each of `peers` that this agent now holds these chunks.
 struct AnnounceChunks {
   std::vector<PeerId> peers;
   std::vector<ChunkIndex> chunks;
 };
-/// Become `peer`'s neighbour: tell it everything that is held here.
+/// Joins `peer` as a neighbour by sending it the set of all held chunks.
 struct JoinPeer {
   PeerId peer = 0;
 };
-/// Every chunk is held and verified.
+/// All chunks are held and verified.
 struct SwarmComplete {};
 /// `peer` sent too many corrupt chunks and is avoided from now on.
 struct PeerAvoided {
--- a/src/swarm/swarm_membership.cpp
+++ b/src/swarm/swarm_membership.cpp
@@ -9,9 +9,9 @@
 namespace pumicemast {
 namespace {
 
-/// More points even out the owners' shares; 16 keep the largest near twice the mean.
+/// More points even out the owners' shares; with 16 the largest share is about twice the mean.
 constexpr std::uint64_t kPointsPerMember = 16;
-/// Regions up to this size are a full mesh.
+/// Regions up to this size form a full mesh.
 constexpr std::size_t kFullMeshSize = 12;
 
 }  // namespace
@@ -62,7 +62,7 @@
       ++owned[candidate];
       owners.by_region[region] = candidate;
     }
-    // Of the regions' owners, so that one of them need not be brought the chunk.
+    // The overall owner is one of the regional owners; this saves one transfer to its own region.
     const auto least_loaded = std::min_element(
         owners.by_region.begin(), owners.by_region.end(), [&](const auto& left, const auto& right) {
           return std::pair(origin_fetches[left.second], stable_hash(seed_ ^ left.second, chunk)) <
@@ -134,7 +134,7 @@
   if (rank >= ring.members.size()) return nullptr;
   if (first == 0) return find(ring.at(position(chunk), rank));
   if (rank == 0) return find(first);
-  // Those before `first` in the ring's order move back by one rank.
+  // Members before `first` in the ring's order move back by one rank.
   std::size_t ring_rank = 0;
   while (ring_rank < rank && ring.at(position(chunk), ring_rank) != first) ++ring_rank;
   return find(ring.at(position(chunk), ring_rank < rank ? rank : rank - 1));
@@ -149,7 +149,8 @@
                                                       std::size_t rank) const {
   const auto found = region_rings_.find(region);
   if (found == region_rings_.end()) return nullptr;
-  // Both rings place a member's points alike, so the overall owner comes first in its region.
+  // Both rings use the same points for a member, so the overall owner also comes first in its
+  // region.
   const bool bounded = chunk < first_owners_.size();
   return ranked(found->second, chunk, rank,
                 bounded ? first_owners_[chunk].by_region.at(region) : 0);
--- a/src/swarm/swarm_uploads.cpp
+++ b/src/swarm/swarm_uploads.cpp
@@ -5,7 +5,7 @@
 namespace pumicemast {
 namespace {
 
-/// Requests that wait at an agent with a narrow link; more would wait in vain.
+/// Queue limit of an agent with a narrow link; further requests would wait too long.
 constexpr std::uint32_t kNarrowQueueLimit = 4;
 
 }  // namespace
@@ -35,7 +35,7 @@
 
 void SwarmUploads::set_slots(std::uint32_t slots) {
   queue_.set_slots(slots);
-  // On a narrow link requests would wait in a long queue; refused, they go elsewhere.
+  // On a narrow link requests would wait in a long queue; after a refusal peers ask other agents.
   queue_.set_limit(slots <= 1 ? std::min(kNarrowQueueLimit, queue_limit_) : queue_limit_);
 }
 
--- a/src/swarm/swarm_uploads.h
+++ b/src/swarm/swarm_uploads.h
@@ -1,7 +1,7 @@
-/// What an agent sends to others, and whom it refuses.
+/// Decides which chunks an agent uploads and which requests it refuses.
 ///
-/// A decision core: no I/O. Who asks for a chunk that is not here is refused, but for agents of
-/// other regions that ask its overall owner: they wait until it arrives.
+/// A decision core: no I/O. Requests for chunks that are not held are refused, except those that
+/// agents of other regions send to the overall owner: these wait until the chunk arrives.
 #pragma once
 
 #include <cstdint>
@@ -17,20 +17,20 @@
   SwarmUploads(std::uint32_t slots, std::uint32_t queue_limit)
       : queue_limit_(queue_limit), queue_(slots, queue_limit) {}
 
-  /// A peer asks for a chunk that is held here.
+  /// A peer requests a chunk that this agent holds.
   void on_request(const UploadRequest& request, SwarmActions& actions);
-  /// A peer of another region asks for a chunk that this agent is to bring in.
+  /// A peer of another region requests a chunk that this agent has to fetch.
   void on_subscription(PeerId peer, ChunkIndex chunk) { subscribers_.add(chunk, peer); }
-  /// A chunk is held from now on.
+  /// This agent now holds `chunk`.
   void on_held(ChunkIndex chunk, SwarmActions& actions);
   void on_cancel(PeerId peer, ChunkIndex chunk);
   void on_peer_lost(PeerId peer) { queue_.cancel_all(peer); }
-  /// The link took a chunk given by SendChunk, or the peer went away.
+  /// The link accepted a chunk given by SendChunk, or the peer disconnected.
   void on_sent(SwarmActions& actions);
-  /// Changes how many chunks the link takes at once.
+  /// Sets how many chunks are handed to the link at the same time.
   void set_slots(std::uint32_t slots);
 
-  /// Chunks that the link is taking.
+  /// Uploads that occupy a slot.
   std::uint32_t active() const { return queue_.active(); }
 
  private:
--- a/src/swarm/upload_queue.h
+++ b/src/swarm/upload_queue.h
@@ -1,8 +1,8 @@
-/// Chunks that other agents asked this one for.
+/// Requests from other agents for chunks of this agent.
 ///
-/// Who is furthest behind is served first: the rollout ends when the last machine does, so
-/// a transfer to one that is ahead can wait. Requests from other regions come before all,
-/// because one copy there feeds a whole region.
+/// The peer with the least progress is served first: the rollout ends when the last machine
+/// completes, so transfers to machines that are ahead can wait. Requests from other regions come
+/// before all others, because one copy there serves a whole region.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
 struct UploadRequest {
   PeerId peer = 0;
   ChunkIndex chunk = 0;
-  std::uint32_t progress = 0;  ///< Chunks that the peer holds already.
+  std::uint32_t progress = 0;  ///< Number of chunks that the peer already holds.
   bool other_region = false;
 };
 
@@ -24,12 +24,12 @@
  public:
   UploadQueue(std::uint32_t slots, std::uint32_t limit) : slots_(slots), limit_(limit) {}
 
-  /// @return false when the queue is full; the peer must be refused.
+  /// @return false when the queue is full; the request has to be refused.
   bool push(const UploadRequest& request);
-  /// Drops a request that was not begun.
+  /// Drops a request whose upload has not begun.
   void cancel(PeerId peer, ChunkIndex chunk);
   void cancel_all(PeerId peer);
-  /// The next request to begin, when a slot is free. It occupies the slot until on_sent().
+  /// The next request to serve, if a slot is free. It occupies the slot until on_sent().
   std::optional<UploadRequest> begin_next();
   void on_sent();
   void set_slots(std::uint32_t slots) { slots_ = slots; }
--- a/tests/swarm/origin_outage_test.cpp
+++ b/tests/swarm/origin_outage_test.cpp
@@ -24,13 +24,14 @@
 
 }  // namespace
 
-/// New weights, and no agent ever had a whole copy.
+/// Bounds the copies that the origin sends and the completion time around an origin outage.
 ///
-/// 126 engines were joined by 84, and 94 of them were replaced one after the other. Half way a
-/// version was named; 2.5 s later the origin was away for 6 s. All that its link carried afterwards
-/// it sent, 20 copies in 33 s, and not one became whole anywhere. What the agents decide was not
-/// the cause: here, where reports and lists take nothing from the links, the origin sends 1.8
-/// to 2.2 copies and the last agent has all 4 s after its return. These bounds keep it so.
+/// Guards against a failure of a run with 126 engines: 84 joined, 94 were replaced one by one, and
+/// halfway a new version was rolled out. 2.5 s later the origin was down for 6 s. Afterwards the
+/// origin sent 20 copies in 33 s, all that its link carried, yet no agent completed one. The
+/// agents' decisions were not the cause: in this simulation, where reports and lists use no link
+/// capacity, the origin sends 1.8 to 2.2 copies and the last agent completes 4 s after the outage.
+/// The bounds here keep it that way.
 class OriginOutageTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(OriginOutageTest);
   CPPUNIT_TEST(an_available_origin_sends_about_one_copy);
@@ -62,8 +63,8 @@
     }
   }
 
-  /// 76 engines before an origin of 4.38 Mbit/s that takes 48 connections: with all of them in use
-  /// a chunk took nearly as long as a call may, and much of what was sent was given up.
+  /// 76 engines and an origin of 4.38 Mbit/s with 48 connections. With all connections in use, a
+  /// chunk took nearly as long as the call timeout, and many transfers were abandoned midway.
   static OriginOutageSettings narrow_origin() {
     OriginOutageSettings settings;
     settings.agents = 76;
@@ -86,7 +87,7 @@
     }
   }
 
-  /// Half a second after the naming the origin was away for 6 s.
+  /// The origin is down for 6 s, from 0.5 s after the start of the rollout.
   void a_narrow_origin_is_used_at_once_after_an_outage() {
     for (std::uint32_t seed = 1; seed <= 3; ++seed) {
       OriginOutageSettings settings = narrow_origin();
@@ -101,7 +102,7 @@
     }
   }
 
-  /// With all connections in use a chunk takes 5.7 s.
+  /// With all connections in use, a chunk takes 5.7 s.
   void a_very_narrow_origin_sends_few_chunks_twice() {
     OriginOutageSettings settings = narrow_origin();
     settings.away_from = settings.away_until = Duration::zero();
@@ -118,8 +119,8 @@
            settings.origin_bytes_per_second;
   }
 
-  /// The first copy is whole soon after the origin's link can have carried it, and the others
-  /// follow closely.
+  /// The first agent completes soon after the origin's link can have carried one copy, and the
+  /// other agents follow closely.
   static void assert_completes_promptly(const OriginOutageResult& result, double minimum_s,
                                         double outage_s = 0) {
     CPPUNIT_ASSERT(result.first_complete_s < outage_s + 1.2 * (minimum_s - outage_s) + 0.6);
--- a/tests/swarm/owner_monitor_test.cpp
+++ b/tests/swarm/owner_monitor_test.cpp
@@ -22,7 +22,7 @@
   OwnerMonitor monitor{kSelf, ChunkSet(kChunks)};
 
   bool owned_by(ChunkIndex chunk, PeerId id) const { return membership.owner(chunk, 0)->id == id; }
-  /// All chunks have appeared but those of one owner.
+  /// All chunks except those of one owner have appeared.
   void compare_without(PeerId missing) {
     monitor.compare(membership, [&](ChunkIndex chunk) { return !owned_by(chunk, missing); });
   }
--- a/tests/swarm/owner_progress_test.cpp
+++ b/tests/swarm/owner_progress_test.cpp
@@ -16,7 +16,7 @@
 
   static constexpr PeerId kSlow = 99;
 
-  /// Seven owners of 14 chunks each; the last is the one in question.
+  /// Seven owners of 14 chunks each; kSlow has its own progress.
   static std::map<PeerId, OwnerProgress> owners(std::uint32_t others, std::uint32_t slow) {
     std::map<PeerId, OwnerProgress> result;
     for (PeerId id = 1; id <= 6; ++id) result[id] = {14, others};
--- a/tests/swarm/swarm_membership_test.cpp
+++ b/tests/swarm/swarm_membership_test.cpp
@@ -105,7 +105,8 @@
         ++region_fetches[membership.region_owner(chunk, region, 0)->id];
       }
     }
-    // Regions of 7, 7 and 6 members: shares of 14, 14 and 16; 96 draws by 20 are 4.8 each.
+    // Regions of 7, 7 and 6 members: shares of 14, 14 and 16 chunks. 96 fetches from the origin by
+    // 20 members are 4.8 each.
     for (const SwarmParticipant& participant : participants) {
       CPPUNIT_ASSERT(region_fetches[participant.id] <= (participant.region == 2 ? 16U : 14U));
       CPPUNIT_ASSERT(origin_fetches[participant.id] <= 7U);
--- a/tests/swarm/swarm_test.cpp
+++ b/tests/swarm/swarm_test.cpp
@@ -56,7 +56,7 @@
     join(swarm, kPeer, actions);
     join(swarm, kOther, actions);
     const auto requests = find_actions<RequestFromPeer>(actions);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{4}, requests.size());  // Two a peer.
+    CPPUNIT_ASSERT_EQUAL(std::size_t{4}, requests.size());  // Two per peer.
     std::set<ChunkIndex> distinct;
     for (const RequestFromPeer& request : requests) distinct.insert(request.chunk);
     CPPUNIT_ASSERT_EQUAL(std::size_t{4}, distinct.size());
@@ -81,8 +81,8 @@
     }
   }
 
-  /// Large chunks on slow links: the answer to the last request of a window may take many
-  /// times longer than the first. As long as the peer delivers, nothing is cancelled.
+  /// With large chunks on slow links, the response to the last request of a window may take many
+  /// times longer than the first. While the peer delivers chunks, no request is cancelled.
   void a_busy_peer_does_not_count_as_stalled() {
     Swarm swarm = make_swarm();
     SwarmActions actions;
@@ -104,7 +104,7 @@
     swarm.on_membership(membership(), now_, actions);
     join(swarm, kPeer, actions);
     join(swarm, kOther, actions);
-    // kOther: one corrupt chunk among many; kPeer: nothing but corrupt ones.
+    // kOther sends one corrupt chunk among many, kPeer only corrupt ones.
     for (ChunkIndex chunk = 0; chunk < 20; ++chunk) {
       swarm.on_chunk(kOther, chunk, chunk == 0 ? ChunkArrival::corrupt : ChunkArrival::verified,
                      now_, actions);
@@ -253,11 +253,11 @@
     SwarmActions actions;
     swarm.on_membership(membership(), now_, actions);
     CPPUNIT_ASSERT(find_actions<RequestFromOrigin>(actions).empty());
-    join(swarm, kPeer, actions);  // Holds everything.
+    join(swarm, kPeer, actions);  // kPeer holds all chunks.
     now_ += milliseconds(100);
     swarm.on_tick(now_, actions);
     CPPUNIT_ASSERT(!find_actions<RequestFromPeer>(actions).empty());
-    // With nobody who holds anything it does draw.
+    // An agent without neighbours that hold chunks does fetch from the origin.
     Swarm alone(late, ChunkSet(kChunks));
     actions.clear();
     alone.on_membership(membership(), now_, actions);
@@ -274,7 +274,7 @@
     for (ChunkIndex chunk = 0; chunk < 10; ++chunk) {
       swarm.on_request(kPeer, chunk, 0, now_, actions);
     }
-    // One is sent, four wait.
+    // One upload is in progress, four requests wait.
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, find_actions<SendChunk>(actions).size());
     CPPUNIT_ASSERT_EQUAL(std::size_t{5}, find_actions<RefuseChunk>(actions).size());
   }
--- a/tests/swarm/swarm_times_test.cpp
+++ b/tests/swarm/swarm_times_test.cpp
@@ -5,7 +5,7 @@
 
 namespace pumicemast {
 
-/// When a swarm takes requests for failed and owners for gone.
+/// Timeouts of chunk requests and detection of starvation.
 class SwarmTimesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SwarmTimesTest);
   CPPUNIT_TEST(the_timeout_follows_the_average_response_time_within_limits);
@@ -49,11 +49,11 @@
   void starvation_follows_the_average_gap() {
     StarvationDetector detector(seconds(1));
     detector.restart(now);
-    CPPUNIT_ASSERT(!detector.starved(now + milliseconds(3999)));  // The first may be slow to come.
+    CPPUNIT_ASSERT(!detector.starved(now + milliseconds(3999)));  // The first may be slow.
     CPPUNIT_ASSERT(detector.starved(now + seconds(4)));
     now += milliseconds(500);
     detector.on_chunk_appeared(now);
-    CPPUNIT_ASSERT(detector.takeover_interval() == seconds(8));  // Sixteen usual gaps.
+    CPPUNIT_ASSERT(detector.takeover_interval() == seconds(8));  // Sixteen average gaps.
     CPPUNIT_ASSERT(!detector.starved(now + seconds(7)));
   }
 
--- a/tests/swarm/swarm_uploads_test.cpp
+++ b/tests/swarm/swarm_uploads_test.cpp
@@ -56,7 +56,7 @@
     uploads.set_slots(1);
     for (ChunkIndex chunk = 0; chunk < 6; ++chunk) request(kPeer, chunk);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1},
-                         actions_of_type<RefuseChunk>().size());  // One sent, four wait.
+                         actions_of_type<RefuseChunk>().size());  // One sent, four queued.
     uploads.set_slots(kSlots);
     request(kPeer, 6);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, actions_of_type<RefuseChunk>().size());
@@ -76,7 +76,7 @@
 
   void cancelled_requests_and_lost_peers_get_nothing() {
     request(kOther, 0);
-    request(kOther, 1);  // Both slots are taken.
+    request(kOther, 1);  // Occupies the second slot.
     request(kPeer, 2);
     request(kPeer, 3);
     uploads.on_subscription(kPeer, 4);
