--- a/src/transfer/chunk_cache.h
+++ b/src/transfer/chunk_cache.h
@@ -1,5 +1,5 @@
-/// Recently received or sent chunks, so that passing one on needs no read-back from the
-/// engine. Bounded by bytes; the least recently used goes first.
+/// Cache of recently received or sent chunks, so that forwarding a chunk needs no read from the
+/// engine. Bounded by bytes; evicts the least recently used chunk first.
 #pragma once
 
 #include <cstdint>
@@ -26,7 +26,7 @@
     index_[key] = entries_.begin();
     while (used_bytes_ > limit_bytes_) remove_last();
   }
-  /// Null when it is not there.
+  /// Null when the chunk is not cached.
   Bytes find(const std::string& digest, ChunkIndex chunk) {
     const auto found = index_.find({digest, chunk});
     if (found == index_.end()) return nullptr;
--- a/src/transfer/downlink_pacer.h
+++ b/src/transfer/downlink_pacer.h
@@ -1,4 +1,4 @@
-/// Holds peers back while the own downlink's share is used up.
+/// Stops reading from peers while this agent's share of the downlink is used up.
 #pragma once
 
 #include <cstddef>
@@ -11,11 +11,11 @@
 
 class DownlinkPacer {
  public:
-  /// @param bytes_per_second  0 for no bound.
+  /// @param bytes_per_second  0 for no limit.
   DownlinkPacer(double bytes_per_second, PeerLinks& links)
       : bounded_(bytes_per_second > 0), bucket_(bytes_per_second, 0), links_(links) {}
 
-  /// So many bytes came in; nothing more is read until they are paid for.
+  /// Counts received bytes against the share. Reading pauses until the share covers them.
   void charge(std::size_t bytes);
 
  private:
--- a/src/transfer/swarm_messages.h
+++ b/src/transfer/swarm_messages.h
@@ -1,6 +1,6 @@
-/// Translates between the swarm core and frames to and from its peers.
+/// Translates between the swarm core and the frames exchanged with its peers.
 ///
-/// Shared by all shells round a Swarm; none of them writes or reads these frames itself.
+/// Used by all shells around a Swarm; none of them encodes or decodes these frames itself.
 #pragma once
 
 #include <optional>
@@ -13,7 +13,7 @@
 
 namespace pumicemast {
 
-/// Sends what the core asks for as frames about one version.
+/// Sends the actions of the core as frames about one version.
 class SwarmMessages {
  public:
   explicit SwarmMessages(PeerLinks& links) : links_(links) {}
@@ -22,21 +22,21 @@
   void send(const std::string& digest, const CancelFromPeer& action);
   void send(const std::string& digest, const RefuseChunk& action);
   void send(const std::string& digest, const AnnounceChunks& action);
-  /// @param reply  answers a join, and is not to be answered.
+  /// @param reply  whether this answers a join; such a join is not answered.
   void send_join(const std::string& digest, PeerId peer, const ChunkSet& have, bool reply);
 
  private:
   PeerLinks& links_;
 };
 
-/// The version a frame of a swarm is about; nothing for other frames.
+/// The digest of the version that a swarm frame is about; empty for other frames.
 std::optional<std::string_view> swarm_frame_digest(const wire::Frame& frame);
 
-/// What a joining peer holds, as it came.
+/// The bitmap of chunks that a joining peer holds, as received.
 std::vector<std::uint8_t> join_bitmap(const wire::SwarmJoin& join);
 
-/// Hands announcements, requests, refusals and cancellations to the core. The others (joins and
-/// the chunks themselves) need their shell.
+/// Passes announcements, requests, refusals and cancellations to the core. The shell handles the
+/// other frames (joins and chunk data).
 /// @return whether the frame was one of these.
 bool apply_swarm_frame(Swarm& swarm, PeerId peer, const wire::Frame& frame, TimePoint now,
                        SwarmActions& actions);
--- a/src/transfer/uplink_pacer.cpp
+++ b/src/transfer/uplink_pacer.cpp
@@ -5,10 +5,10 @@
 namespace pumicemast {
 namespace {
 
-/// Bytes that may wait in one connection before an upload slot is freed.
+/// Bytes that may be queued on a connection while its upload slot is freed at once.
 constexpr std::size_t kMaximumUndrainedBytes = 4U << 20U;
-/// Timers fire late by milliseconds, which is a fifth of the time that a small chunk takes.
-/// What the link could have carried meanwhile is made up for, up to this much of its time.
+/// Timers fire milliseconds late, which is a fifth of the transfer time of a small chunk. The pacer
+/// makes up for the capacity unused meanwhile, up to this much link time.
 constexpr double kTimerDelayAllowanceSeconds = 0.02;
 
 }  // namespace
@@ -56,7 +56,7 @@
     const auto size = static_cast<double>(upload.bytes->size());
     upload.bytes.reset();
     if (bytes_per_second_ > 0) {
-      // Sent into debt; the next one waits until the link has carried this one.
+      // Sent on credit: the next chunk waits until the link has had time to carry this one.
       const TimePoint now = loop_now();
       bucket_.take_into_debt(size, now);
       timer_.start_once(bucket_.time_until(0, now), [this, upload = std::move(upload)] {
--- a/src/transfer/uplink_pacer.h
+++ b/src/transfer/uplink_pacer.h
@@ -1,5 +1,5 @@
-/// Sends chunks to other agents at the uplink's share for weights, one after the other, the
-/// most urgent version first.
+/// Sends chunks to other agents within the share of the uplink for weights, one after the other,
+/// chunks of the version with the highest priority first.
 #pragma once
 
 #include <functional>
@@ -21,19 +21,20 @@
   PeerId peer = 0;
   ChunkIndex chunk = 0;
   ChunkCache::Bytes bytes;
-  int priority = 0;          ///< Of the version's rollout; higher goes first.
-  TimePoint requested_at{};  ///< When the peer's request came; zero when that is not known.
+  int priority = 0;          ///< Of the version's rollout; the highest goes first.
+  TimePoint requested_at{};  ///< When the peer's request arrived; zero if unknown.
 };
 
 class UplinkPacer {
  public:
   /// @param bytes_per_second  the share for weights; 0 for no limit.
-  /// @param on_sent           the link took this chunk (its bytes are left out): its slot is free.
+  /// @param on_sent           the link accepted a chunk and its slot is free; called without the
+  ///                          bytes.
   UplinkPacer(double bytes_per_second, PeerLinks& links, Metrics& metrics,
               std::function<void(const ChunkUpload& upload)> on_sent);
 
   void push(ChunkUpload upload);
-  /// All that was queued to `peer` was taken by the system.
+  /// All bytes queued for `peer` were accepted by the operating system.
   void on_drained(PeerId peer);
   void on_peer_lost(PeerId peer);
 
@@ -47,7 +48,7 @@
   Metrics& metrics_;
   std::function<void(const ChunkUpload&)> on_sent_;
   std::list<ChunkUpload> waiting_;
-  /// Chunks that a connection has not taken whole yet.
+  /// Chunks that a connection has not fully accepted yet.
   std::map<PeerId, std::vector<ChunkUpload>> undrained_;
   TokenBucket bucket_;
   Timer timer_;
