--- a/src/hollow/hollow_agent.cpp
+++ b/src/hollow/hollow_agent.cpp
@@ -45,7 +45,7 @@
     message.replicas.push_back(std::move(entry));
   }
   message.queue_limit = kQueueLimit;
-  message.draining = message.drained = stopping_;
+  message.draining = message.drained = draining_;
   message.configuration_revision = revision_;
   return message;
 }
@@ -60,7 +60,7 @@
 
 void HollowAgent::on_frame(EntryNumber entry, const wire::Frame& frame) {
   if (const auto* assignment = frame.body_as_Assignment()) on_assignment(*assignment);
-  if (const auto* submit = frame.body_as_SubmitRequest()) answer(entry, *submit);
+  if (const auto* submit = frame.body_as_SubmitRequest()) respond_to(entry, *submit);
 }
 
 void HollowAgent::on_assignment(const wire::Assignment& assignment) {
@@ -70,22 +70,24 @@
   totals_.assignment_bytes_received += encode_frame(copy).size();
   if (copy.revision < revision_) return;
   revision_ = copy.revision;
-  stopping_ = copy.stop;
-  std::map<std::string, HollowReplica> ordered;
+  draining_ = copy.stop;
+  std::map<std::string, HollowReplica> assigned;
   for (const auto& order : copy.models) {
-    const auto held = replicas_.find(order->model);
-    const bool kept = held != replicas_.end() && held->second.digest == order->serve_digest;
-    ordered[order->model] =
-        kept ? held->second : HollowReplica{order->serve_version, order->serve_digest, "FETCHING"};
+    const auto existing = replicas_.find(order->model);
+    const bool unchanged =
+        existing != replicas_.end() && existing->second.digest == order->serve_digest;
+    assigned[order->model] =
+        unchanged ? existing->second
+                  : HollowReplica{order->serve_version, order->serve_digest, "FETCHING"};
   }
-  replicas_ = std::move(ordered);
+  replicas_ = std::move(assigned);
   live_timer_.start_once(options_.live_delay, [this] {
     for (auto& [model, replica] : replicas_) replica.state = "LIVE";
     report();
   });
 }
 
-void HollowAgent::answer(EntryNumber entry, const wire::SubmitRequest& submit) {
+void HollowAgent::respond_to(EntryNumber entry, const wire::SubmitRequest& submit) {
   ++totals_.requests_answered;
   WireConnection* connection = links_.connection(entry);
   wire::AnswerHeadT head;
--- a/src/hollow/hollow_agent.h
+++ b/src/hollow/hollow_agent.h
@@ -48,14 +48,14 @@
   void report();
   void on_frame(EntryNumber entry, const wire::Frame& frame);
   void on_assignment(const wire::Assignment& assignment);
-  void answer(EntryNumber entry, const wire::SubmitRequest& submit);
+  void respond_to(EntryNumber entry, const wire::SubmitRequest& submit);
 
   HollowOptions options_;
   HollowTotals& totals_;
   EntryLinks links_;
   std::map<std::string, HollowReplica> replicas_;  ///< By model.
   std::uint64_t revision_ = 0;
-  bool stopping_ = false;
+  bool draining_ = false;
   Timer heartbeat_;
   Timer live_timer_;
 };
--- a/src/load/load_generator.cpp
+++ b/src/load/load_generator.cpp
@@ -10,7 +10,7 @@
 using nlohmann::json;
 
 constexpr Duration kSendInterval = milliseconds(5);
-constexpr Duration kAnswerTimeout = seconds(60);
+constexpr Duration kResponseTimeout = seconds(60);
 constexpr std::size_t kPromptHashLength = 8;
 
 }  // namespace
@@ -28,9 +28,9 @@
       static_cast<std::uint32_t>(settings.integer_or("load", "minimum_tokens", 4, {1, 10000}));
   result.maximum_tokens =
       static_cast<std::uint32_t>(settings.integer_or("load", "maximum_tokens", 64, {1, 10000}));
-  result.stream_share = settings.number_or("load", "stream_share", 0.4, 0, 1);
-  result.service_share = settings.number_or("load", "service_share", 0.2, 0, 1);
-  result.repeated_key_share = settings.number_or("load", "repeated_key_share", 0.1, 0, 1);
+  result.stream_fraction = settings.number_or("load", "stream_share", 0.4, 0, 1);
+  result.service_fraction = settings.number_or("load", "service_share", 0.2, 0, 1);
+  result.repeated_key_fraction = settings.number_or("load", "repeated_key_share", 0.1, 0, 1);
   result.seed = static_cast<std::uint64_t>(settings.integer_or("load", "seed", 1, {0, INT64_MAX}));
   result.history_path = settings.string_or("load", "history", "");
   settings.require(result.minimum_tokens <= result.maximum_tokens, "load", "minimum_tokens",
@@ -41,7 +41,7 @@
 LoadGenerator::LoadGenerator(LoadSettings settings, std::function<void()> on_finished)
     : settings_(std::move(settings)),
       on_finished_(std::move(on_finished)),
-      client_(kAnswerTimeout),
+      client_(kResponseTimeout),
       random_(settings_.seed) {}
 
 void LoadGenerator::start() {
@@ -71,14 +71,14 @@
 void LoadGenerator::send_one() {
   std::uniform_real_distribution<double> uniform(0, 1);
   const bool service =
-      !settings_.service_path.empty() && uniform(random_) < settings_.service_share;
+      !settings_.service_path.empty() && uniform(random_) < settings_.service_fraction;
   if (!service) {
-    send_model_call(uniform(random_) < settings_.stream_share);
+    send_model_call(uniform(random_) < settings_.stream_fraction);
     return;
   }
   const std::string key = "key-" + std::to_string(settings_.seed) + "-" + std::to_string(sent_);
   send_service_call(key);
-  if (uniform(random_) < settings_.repeated_key_share) send_service_call(key);
+  if (uniform(random_) < settings_.repeated_key_fraction) send_service_call(key);
 }
 
 std::string LoadGenerator::entry_url() {
@@ -91,7 +91,7 @@
 }
 
 void LoadGenerator::send_model_call(bool stream) {
-  ExpectedAnswer expected;
+  ExpectedResponse expected;
   expected.request_id = next_id();
   expected.stream = stream;
   expected.chat = random_() % 2 == 0;
@@ -118,7 +118,7 @@
 }
 
 void LoadGenerator::send_service_call(const std::string& key) {
-  ExpectedAnswer expected;
+  ExpectedResponse expected;
   expected.request_id = next_id();
   HttpRequest request;
   request.method = "POST";
@@ -133,7 +133,7 @@
   send(std::move(request), std::move(expected), std::move(record), true);
 }
 
-void LoadGenerator::send(HttpRequest request, ExpectedAnswer expected, LoadRecord record,
+void LoadGenerator::send(HttpRequest request, ExpectedResponse expected, LoadRecord record,
                          bool service) {
   const std::uint64_t call = next_call_++;
   request.headers["X-Request-Id"] = expected.request_id;
@@ -143,31 +143,32 @@
   record.sent = loop_now();
   const std::size_t index = records_.size();
   records_.push_back(std::move(record));
-  auto received = std::make_shared<ReceivedAnswer>();
+  auto received = std::make_shared<ReceivedResponse>();
   calls_[call] = client_.stream(
-      request, {[this, received, index](const HttpResponse& head) {
-                  received->status = head.status;
-                  const auto find = [&](const char* name) {
-                    const auto header = head.headers.find(name);
-                    return header == head.headers.end() ? std::string() : header->second;
-                  };
-                  received->outcome_header = head.never_sent ? "not-run" : find("x-outcome");
-                  received->request_id_header = find("x-request-id");
-                  records_[index].status = head.status;
-                  records_[index].first_byte = loop_now();
-                },
-                [received](const std::string& bytes) { received->body += bytes; },
-                [this, received, index, call, expected = std::move(expected), service](bool whole) {
-                  received->ended = whole;
-                  const CheckedAnswer checked = service ? check_service_answer(expected, *received)
-                                                        : check_model_answer(expected, *received);
-                  LoadRecord& finished = records_[index];
-                  finished.verdict = checked.verdict;
-                  finished.tag = checked.tag;
-                  finished.done = loop_now();
-                  calls_.erase(call);
-                  if (stopping_ && calls_.empty()) on_finished_();
-                }});
+      request,
+      {[this, received, index](const HttpResponse& head) {
+         received->status = head.status;
+         const auto find = [&](const char* name) {
+           const auto header = head.headers.find(name);
+           return header == head.headers.end() ? std::string() : header->second;
+         };
+         received->outcome_header = head.never_sent ? "not-run" : find("x-outcome");
+         received->request_id_header = find("x-request-id");
+         records_[index].status = head.status;
+         records_[index].first_byte = loop_now();
+       },
+       [received](const std::string& bytes) { received->body += bytes; },
+       [this, received, index, call, expected = std::move(expected), service](bool complete) {
+         received->ended_normally = complete;
+         const CheckedResponse checked = service ? check_service_response(expected, *received)
+                                                 : check_model_response(expected, *received);
+         LoadRecord& finished = records_[index];
+         finished.verdict = checked.verdict;
+         finished.tag = checked.tag;
+         finished.done = loop_now();
+         calls_.erase(call);
+         if (stopping_ && calls_.empty()) on_finished_();
+       }});
 }
 
 }  // namespace pumicemast
--- a/src/load/load_generator.h
+++ b/src/load/load_generator.h
@@ -11,7 +11,7 @@
 #include "common/event_loop.h"
 #include "common/settings.h"
 #include "http/http_client.h"
-#include "load/answer_checker.h"
+#include "load/response_checker.h"
 
 namespace pumicemast {
 
@@ -24,9 +24,9 @@
   Duration duration = seconds(10);
   std::uint32_t minimum_tokens = 4;
   std::uint32_t maximum_tokens = 64;
-  double stream_share = 0.4;
-  double service_share = 0.2;
-  double repeated_key_share = 0.1;  ///< Of service calls: sent twice with one key.
+  double stream_fraction = 0.4;
+  double service_fraction = 0.2;
+  double repeated_key_fraction = 0.1;  ///< Of service calls: sent twice with one key.
   std::uint64_t seed = 1;
   std::string history_path;  ///< "" for none.
 
@@ -59,7 +59,7 @@
   void send_one();
   void send_model_call(bool stream);
   void send_service_call(const std::string& key);
-  void send(HttpRequest request, ExpectedAnswer expected, LoadRecord record, bool service);
+  void send(HttpRequest request, ExpectedResponse expected, LoadRecord record, bool service);
   std::string entry_url();
   std::string next_id();
 
--- a/src/load/main.cpp
+++ b/src/load/main.cpp
@@ -67,10 +67,10 @@
   return executions;
 }
 
-double percentile_ms(std::vector<Duration> values, double share) {
+double percentile_ms(std::vector<Duration> values, double fraction) {
   if (values.empty()) return 0;
   std::sort(values.begin(), values.end());
-  const auto index = static_cast<std::size_t>(share * static_cast<double>(values.size() - 1));
+  const auto index = static_cast<std::size_t>(fraction * static_cast<double>(values.size() - 1));
   return to_seconds(values[index]) * 1000;
 }
 
@@ -80,31 +80,31 @@
 
 void print_figures(const std::vector<LoadRecord>& records, const Executions& executions) {
   std::map<Verdict, std::uint32_t> verdicts;
-  std::uint32_t doubled = 0;
-  std::uint32_t ran_though_not_run = 0;
+  std::uint32_t executed_twice = 0;
+  std::uint32_t ran_despite_refusal = 0;
   std::vector<Duration> first_bytes;
   std::set<std::string> tags;
   std::set<std::string> keys;
   for (const LoadRecord& record : records) {
     ++verdicts[record.verdict];
     if (!record.tag.empty()) tags.insert(record.tag);
-    if (record.verdict == Verdict::whole) first_bytes.push_back(record.first_byte - record.sent);
+    if (record.verdict == Verdict::complete) first_bytes.push_back(record.first_byte - record.sent);
     const auto ran = executions.by_request.find(record.request_id);
     const bool executed = ran != executions.by_request.end();
-    if (record.verdict == Verdict::not_run && executed) ++ran_though_not_run;
+    if (record.verdict == Verdict::not_run && executed) ++ran_despite_refusal;
     if (!record.key.empty() && keys.insert(record.key).second) {
       const auto by_key = executions.by_key.find(record.key);
-      if (by_key != executions.by_key.end() && by_key->second > 1) ++doubled;
+      if (by_key != executions.by_key.end() && by_key->second > 1) ++executed_twice;
     }
   }
   print_figure("requests_sent", static_cast<double>(records.size()), "requests");
-  print_figure("answers_whole", verdicts[Verdict::whole], "answers");
+  print_figure("answers_whole", verdicts[Verdict::complete], "answers");
   print_figure("answers_lost", verdicts[Verdict::lost], "answers");
   print_figure("answers_foreign", verdicts[Verdict::foreign], "answers");
   print_figure("answers_mixed", verdicts[Verdict::mixed], "answers");
-  print_figure("answers_doubled", doubled, "keys");
+  print_figure("answers_doubled", executed_twice, "keys");
   print_figure("refused_not_run", verdicts[Verdict::not_run], "requests");
-  print_figure("refused_not_run_but_ran", ran_though_not_run, "requests");
+  print_figure("refused_not_run_but_ran", ran_despite_refusal, "requests");
   print_figure("outcome_unknown", verdicts[Verdict::unknown], "requests");
   print_figure("versions_seen", static_cast<double>(tags.size()), "versions");
   print_figure("journals_unreadable", executions.unreadable_journals, "journals");
--- a/src/load/answer_checker.cpp
+++ b/src/load/response_checker.cpp
@@ -1,4 +1,4 @@
-#include "load/answer_checker.h"
+#include "load/response_checker.h"
 
 #include <nlohmann/json.hpp>
 #include <sstream>
@@ -9,9 +9,9 @@
 using nlohmann::json;
 
 constexpr char kDataPrefix[] = "data: ";
-constexpr char kDone[] = "[DONE]";
+constexpr char kEndOfStream[] = "[DONE]";
 
-Verdict refusal_verdict(const ReceivedAnswer& received) {
+Verdict refusal_verdict(const ReceivedResponse& received) {
   if (received.outcome_header == "not-run") return Verdict::not_run;
   if (received.outcome_header == "unknown" || received.outcome_header == "completed") {
     return Verdict::unknown;
@@ -39,7 +39,7 @@
   while (std::getline(lines, line)) {
     if (line.rfind(kDataPrefix, 0) != 0) continue;
     const std::string data = line.substr(sizeof(kDataPrefix) - 1);
-    if (data == kDone) {
+    if (data == kEndOfStream) {
       content.done = true;
       continue;
     }
@@ -54,8 +54,8 @@
 }
 
 /// Checks every token of `text`.
-CheckedAnswer check_tokens(const ExpectedAnswer& expected, const std::string& text) {
-  CheckedAnswer checked;
+CheckedResponse check_tokens(const ExpectedResponse& expected, const std::string& text) {
+  CheckedResponse checked;
   std::istringstream words(text);
   std::string word;
   std::uint32_t count = 0;
@@ -72,7 +72,7 @@
     checked.tag = tag;
     ++count;
   }
-  checked.verdict = count == expected.tokens ? Verdict::whole : Verdict::lost;
+  checked.verdict = count == expected.tokens ? Verdict::complete : Verdict::lost;
   return checked;
 }
 
@@ -80,7 +80,7 @@
 
 const char* to_string(Verdict verdict) {
   switch (verdict) {
-    case Verdict::whole:
+    case Verdict::complete:
       return "whole";
     case Verdict::not_run:
       return "not_run";
@@ -96,10 +96,11 @@
   return "lost";
 }
 
-CheckedAnswer check_model_answer(const ExpectedAnswer& expected, const ReceivedAnswer& received) {
+CheckedResponse check_model_response(const ExpectedResponse& expected,
+                                     const ReceivedResponse& received) {
   if (received.status != 200) return {refusal_verdict(received), ""};
   if (received.request_id_header != expected.request_id) return {Verdict::foreign, ""};
-  if (!received.ended) return {Verdict::lost, ""};
+  if (!received.ended_normally) return {Verdict::lost, ""};
   try {
     if (expected.stream) {
       const StreamContent content = read_stream(received.body, expected.chat);
@@ -114,13 +115,14 @@
   }
 }
 
-CheckedAnswer check_service_answer(const ExpectedAnswer& expected, const ReceivedAnswer& received) {
+CheckedResponse check_service_response(const ExpectedResponse& expected,
+                                       const ReceivedResponse& received) {
   if (received.status != 200) return {refusal_verdict(received), ""};
-  if (!received.ended) return {Verdict::lost, ""};
+  if (!received.ended_normally) return {Verdict::lost, ""};
   const json document = json::parse(received.body, nullptr, false);
   if (!document.is_object()) return {Verdict::lost, ""};
-  const bool own = document.value("request_id", "") == expected.request_id;
-  return {own ? Verdict::whole : Verdict::foreign, ""};
+  const bool own_response = document.value("request_id", "") == expected.request_id;
+  return {own_response ? Verdict::complete : Verdict::foreign, ""};
 }
 
 }  // namespace pumicemast
--- a/src/load/answer_checker.h
+++ b/src/load/response_checker.h
@@ -11,17 +11,17 @@
 namespace pumicemast {
 
 enum class Verdict {
-  whole,    ///< Whole, own and from one version.
-  not_run,  ///< Refused; the system says that it did not run.
-  unknown,  ///< Refused; the system says that the outcome is unknown.
-  lost,     ///< No whole answer and no word about the outcome.
-  mixed,    ///< Tokens of two versions, or of weights that nobody published.
-  foreign,  ///< Another request's answer.
+  complete,  ///< Whole, own and from one version.
+  not_run,   ///< Refused; the system says that it did not run.
+  unknown,   ///< Refused; the system says that the outcome is unknown.
+  lost,      ///< No whole answer and no word about the outcome.
+  mixed,     ///< Tokens of two versions, or of weights that nobody published.
+  foreign,   ///< Another request's answer.
 };
 const char* to_string(Verdict verdict);
 
 /// What was asked.
-struct ExpectedAnswer {
+struct ExpectedResponse {
   std::string request_id;
   std::string prompt_hash;
   std::uint32_t tokens = 0;
@@ -30,23 +30,25 @@
 };
 
 /// What arrived.
-struct ReceivedAnswer {
+struct ReceivedResponse {
   unsigned status = 0;
   std::string outcome_header;
   std::string request_id_header;
   std::string body;
-  bool ended = false;  ///< The connection ended in order.
+  bool ended_normally = false;  ///< The connection ended in order.
 };
 
-struct CheckedAnswer {
+struct CheckedResponse {
   Verdict verdict = Verdict::lost;
   std::string tag;  ///< Of the weights that answered; "" unless whole.
 };
 
 /// Checks a model call's answer.
-CheckedAnswer check_model_answer(const ExpectedAnswer& expected, const ReceivedAnswer& received);
+CheckedResponse check_model_response(const ExpectedResponse& expected,
+                                     const ReceivedResponse& received);
 
 /// Checks a plain service's answer, which echoes the request id and the body.
-CheckedAnswer check_service_answer(const ExpectedAnswer& expected, const ReceivedAnswer& received);
+CheckedResponse check_service_response(const ExpectedResponse& expected,
+                                       const ReceivedResponse& received);
 
 }  // namespace pumicemast
