--- a/src/hollow/hollow_agent.h
+++ b/src/hollow/hollow_agent.h
@@ -1,5 +1,5 @@
-/// A hollow agent: speaks to entries like a real one, but holds no weights and runs nothing.
-/// Many share a process, so that an entry can be measured before thousands of machines.
+/// A hollow agent speaks the agent protocol with entries but holds no weights and runs no engine.
+/// Many hollow agents share one process, to measure an entry that serves thousands of machines.
 #pragma once
 
 #include <cstdint>
@@ -19,11 +19,11 @@
   std::string zone;
   std::vector<Address> entries;
   Duration heartbeat = seconds(1);
-  Duration live_delay = milliseconds(500);  ///< From an order until the replica is live.
+  Duration live_delay = milliseconds(500);  ///< From an assignment until its replicas report LIVE.
   std::uint64_t seed = 1;
 };
 
-/// What all hollow agents of a process have exchanged.
+/// Messages and bytes exchanged by all hollow agents of a process.
 struct HollowTotals {
   std::uint64_t statuses_sent = 0;
   std::uint64_t status_bytes_sent = 0;
@@ -53,7 +53,7 @@
   HollowOptions options_;
   HollowTotals& totals_;
   EntryLinks links_;
-  std::map<std::string, HollowReplica> replicas_;  ///< By model.
+  std::map<std::string, HollowReplica> replicas_;  ///< Keyed by model.
   std::uint64_t revision_ = 0;
   bool draining_ = false;
   Timer heartbeat_;
--- a/src/hollow/main.cpp
+++ b/src/hollow/main.cpp
@@ -1,4 +1,4 @@
-/// pumicemast-hollow: many hollow agents in one process, to measure entries at scale.
+/// pumicemast-hollow: runs many hollow agents in one process to measure entries at scale.
 #include <cstdio>
 #include <iostream>
 
@@ -27,11 +27,11 @@
 
 int main(int argc, char** argv) {
   Findings findings;
-  const DaemonStart start =
-      start_daemon(argc, argv,
-                   {"pumicemast-hollow", "plays many agents that hold nothing, to measure entries",
-                    "pumicemast-hollow --settings hollow.ini --set hollow.agents=2000"},
-                   findings);
+  const DaemonStart start = start_daemon(
+      argc, argv,
+      {"pumicemast-hollow", "simulates many agents without engines to load-test entries",
+       "pumicemast-hollow --settings hollow.ini --set hollow.agents=2000"},
+      findings);
   if (start.should_exit()) return start.exit_code;
   Settings& settings = *start.settings;
   const auto entries = settings.required_addresses("hollow", "entries");
--- a/src/load/load_generator.cpp
+++ b/src/load/load_generator.cpp
@@ -137,7 +137,8 @@
                          bool service) {
   const std::uint64_t call = next_call_++;
   request.headers["X-Request-Id"] = expected.request_id;
-  // By sent_, not by call: a repeated key belongs to one tenant.
+  // Derived from sent_ rather than from `call`, so that both requests with a repeated idempotency
+  // key come from the same tenant.
   request.headers["X-Tenant"] = "tenant-" + std::to_string(sent_ % settings_.tenants);
   record.request_id = expected.request_id;
   record.sent = loop_now();
--- a/src/load/load_generator.h
+++ b/src/load/load_generator.h
@@ -1,4 +1,4 @@
-/// Sends mixed load to the entries and writes down what came of each request.
+/// Sends a mix of requests to the entries and records the outcome of each request.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
 struct LoadSettings {
   std::vector<Address> entries;
   std::string model;
-  std::string service_path;  ///< "" for no calls of a plain service.
+  std::string service_path;  ///< "" sends no requests to a plain service.
   std::uint32_t tenants = 3;
   double requests_per_second = 50;
   Duration duration = seconds(10);
@@ -26,18 +26,18 @@
   std::uint32_t maximum_tokens = 64;
   double stream_fraction = 0.4;
   double service_fraction = 0.2;
-  double repeated_key_fraction = 0.1;  ///< Of service calls: sent twice with one key.
+  double repeated_key_fraction = 0.1;  ///< Fraction of service requests sent twice with one key.
   std::uint64_t seed = 1;
-  std::string history_path;  ///< "" for none.
+  std::string history_path;  ///< "" writes no history.
 
   static LoadSettings read(Settings& settings);
 };
 
-/// One request's fate, for the history.
+/// Outcome of one request, as written to the history.
 struct LoadRecord {
   std::string request_id;
   std::string kind;  ///< plain, stream or service.
-  std::string key;   ///< Idempotency key of a non-repeatable call.
+  std::string key;   ///< Idempotency key of a service request; "" for others.
   Verdict verdict = Verdict::lost;
   unsigned status = 0;
   std::string tag;
@@ -50,7 +50,7 @@
  public:
   LoadGenerator(LoadSettings settings, std::function<void()> on_finished);
   void start();
-  /// Stops sending; on_finished follows once every answer is there.
+  /// Stops sending; on_finished is called once no request is in flight.
   void stop();
   const std::vector<LoadRecord>& records() const { return records_; }
 
--- a/src/load/main.cpp
+++ b/src/load/main.cpp
@@ -1,7 +1,7 @@
-/// pumicemast-load: sends mixed load and prints what came of it as figures.
+/// pumicemast-load: sends a mix of requests and prints the results as figures.
 ///
-/// With `[journals] urls`, the executions that engines and services wrote down are read
-/// afterwards and compared with what callers were told.
+/// With `[journals] urls`, it then reads the executions recorded by engines and services and
+/// compares them with the responses that callers received.
 #include <algorithm>
 #include <fstream>
 #include <iostream>
@@ -28,11 +28,11 @@
   return parts;
 }
 
-/// Executions by request id and by idempotency key, over all journals.
+/// Number of executions by request id and by idempotency key, summed over all journals.
 struct Executions {
   std::map<std::string, std::uint32_t> by_request;
   std::map<std::string, std::uint32_t> by_key;
-  std::uint32_t unreadable_journals = 0;  ///< Of back ends that were killed.
+  std::uint32_t unreadable_journals = 0;  ///< Journals of back ends that have been killed.
 };
 
 void add_journal(const std::string& body, Executions& executions) {
@@ -134,7 +134,7 @@
   Findings findings;
   const DaemonStart start =
       start_daemon(argc, argv,
-                   {"pumicemast-load", "sends mixed load and checks every answer",
+                   {"pumicemast-load", "sends a mix of requests and checks every response",
                     "pumicemast-load --settings load.ini --set load.duration_ms=30000"},
                    findings);
   if (start.should_exit()) return start.exit_code;
--- a/src/load/response_checker.cpp
+++ b/src/load/response_checker.cpp
@@ -19,7 +19,7 @@
   return Verdict::lost;
 }
 
-/// The text of one choice, streamed or not.
+/// Returns the generated text of one choice in a streamed or non-streamed response.
 std::string choice_text(const json& choice, bool chat, bool stream) {
   if (!chat) return choice.value("text", "");
   const char* part = stream ? "delta" : "message";
@@ -53,7 +53,7 @@
   return content;
 }
 
-/// Checks every token of `text`.
+/// Checks the prompt hash, weight tag and index of every token in `text`.
 CheckedResponse check_tokens(const ExpectedResponse& expected, const std::string& text) {
   CheckedResponse checked;
   std::istringstream words(text);
--- a/tests/load/response_checker_test.cpp
+++ b/tests/load/response_checker_test.cpp
@@ -4,7 +4,7 @@
 
 namespace pumicemast {
 
-/// The checker must be able to fail: each fault it looks for is shown to it.
+/// Feeds the checker one response with each fault that it must detect.
 class ResponseCheckerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ResponseCheckerTest);
   CPPUNIT_TEST(classifies_complete_lost_mixed_and_foreign_responses);
