--- a/src/gateway/peers/fleet_links.cpp
+++ b/src/gateway/peers/fleet_links.cpp
@@ -53,7 +53,7 @@
                        [this](PeerId peer) { return same_zone(peer); },
                        [this](PeerId peer) { return address_text(peer); }}),
       random_(static_cast<std::minstd_rand::result_type>(peer_id(own_address_))) {
-  links_.set_unanswered_limit(kUnansweredLimit);
+  links_.set_user_timeout(kUnansweredLimit);
   links_.set_queue_limit(kQueueLimitBytes);
   for (const Address& seed : seeds) add_gateway(seed.to_string(), "");
 }
--- a/src/gateway/requests/backend_connections.cpp
+++ b/src/gateway/requests/backend_connections.cpp
@@ -96,7 +96,7 @@
   // No keep-alive probes during an attempt: a back end may be silent for seconds before it
   // responds, and with the acknowledgement timeout a single lost probe would end a request that may
   // have run. AttemptMonitor watches attempts instead.
-  connection->set_probing(false);
+  connection->set_tcp_keepalive(false);
   started.run(std::move(connection), bytes, head_request);
   if (connected) observer_.on_attempt_connected(send.request);
 }
@@ -124,7 +124,7 @@
   connection->set_idle_since(loop_now());
   // Detects peers that disappear while the connection is idle. Without probes, a non-repeatable
   // request could be sent on a dead connection and then not be retried.
-  connection->set_probing(true);
+  connection->set_tcp_keepalive(true);
   connections.push_back(std::move(connection));
   while (connections.size() > max_idle) {
     connections.front()->abandon();
--- a/src/host/host_daemon.cpp
+++ b/src/host/host_daemon.cpp
@@ -61,7 +61,7 @@
         if (path != "/metrics") return StatusAnswer{kStatusNotFound, "text/plain", "not found"};
         return StatusAnswer{kStatusOk, kMetricsContentType, metrics_.serialize()};
       }) {
-  links_.set_unanswered_limit(kUnansweredLimit);
+  links_.set_user_timeout(kUnansweredLimit);
   links_.set_queue_limit(kQueueLimitBytes);
 }
 
--- a/src/http1/client_connection.cpp
+++ b/src/http1/client_connection.cpp
@@ -2,8 +2,8 @@
 
 namespace pumicemast {
 
-ClientConnection::ClientConnection(const Address& address, Duration unanswered_limit, Owner& owner)
-    : owner_(owner), stream_(address, unanswered_limit, *this) {}
+ClientConnection::ClientConnection(const Address& address, Duration user_timeout, Owner& owner)
+    : owner_(owner), stream_(address, user_timeout, *this) {}
 
 void ClientConnection::send_request(std::string_view bytes, bool head_request,
                                     ExchangeObserver& observer) {
--- a/src/http1/client_connection.h
+++ b/src/http1/client_connection.h
@@ -41,7 +41,7 @@
     virtual void on_idle_connection_ended(ClientConnection& connection) = 0;
   };
 
-  ClientConnection(const Address& address, Duration unanswered_limit, Owner& owner);
+  ClientConnection(const Address& address, Duration user_timeout, Owner& owner);
 
   /// Sends a request. Only while no other is in progress.
   void send_request(std::string_view bytes, bool head_request, ExchangeObserver& observer);
@@ -49,7 +49,7 @@
   void abandon();
 
   /// Whether the connection is probed while nothing comes; it is from its beginning.
-  void set_probing(bool probing) { stream_.set_probing(probing); }
+  void set_tcp_keepalive(bool probing) { stream_.set_tcp_keepalive(probing); }
 
   /// Whether another request may follow on this connection: the last answer was whole, was
   /// the only one, came after the whole request was taken, and did not end the connection.
--- a/src/http1/http_fetcher.cpp
+++ b/src/http1/http_fetcher.cpp
@@ -1,6 +1,6 @@
 #include "http1/http_fetcher.h"
 
-#include "transport/silence_limits.h"
+#include "transport/tcp_keepalive.h"
 
 namespace pumicemast {
 namespace {
@@ -50,7 +50,7 @@
   result_ = {};
   if (connection_ && !connection_->reusable()) drop_connection();
   if (!connection_) {
-    connection_ = std::make_unique<ClientConnection>(address_, kPromptSilenceLimit, *this);
+    connection_ = std::make_unique<ClientConnection>(address_, kFastUserTimeout, *this);
   }
   limit(request.timeout);
   connection_->send_request(encode(request, address_), request.method == "HEAD", *this);
--- a/src/http1/tcp_stream.cpp
+++ b/src/http1/tcp_stream.cpp
@@ -8,7 +8,7 @@
 #include <cerrno>
 
 #include "http1/socket_address.h"
-#include "transport/silence_limits.h"
+#include "transport/tcp_keepalive.h"
 
 namespace pumicemast {
 namespace {
@@ -29,17 +29,17 @@
 TcpStream::TcpStream(int descriptor, StreamObserver& observer)
     : descriptor_(descriptor), observer_(observer), connected_(true) {
   set_no_delay(descriptor_);
-  probe_when_resting(descriptor_, kCallerProbeRest);
+  enable_tcp_keepalive(descriptor_, kCallerKeepaliveIdle);
   registration_ = SocketPoller::instance().add(descriptor_, *this, true, false);
 }
 
-TcpStream::TcpStream(const Address& address, Duration unanswered_limit, StreamObserver& observer)
+TcpStream::TcpStream(const Address& address, Duration user_timeout, StreamObserver& observer)
     : observer_(observer) {
   descriptor_ = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (descriptor_ < 0) return;  // Out of descriptors: never connected, told by the owner's limit.
   set_no_delay(descriptor_);
-  limit_unacknowledged(descriptor_, unanswered_limit);
-  probe_when_resting(descriptor_, kPromptProbeRest);
+  set_tcp_user_timeout(descriptor_, user_timeout);
+  enable_tcp_keepalive(descriptor_, kFastKeepaliveIdle);
   const sockaddr_in target = to_socket_address(address);
   static_cast<void>(
       ::connect(descriptor_, reinterpret_cast<const sockaddr*>(&target), sizeof(target)));
@@ -77,12 +77,12 @@
   if (descriptor_ >= 0) SocketPoller::instance().set_interest(registration_, reading_, writing_);
 }
 
-void TcpStream::set_probing(bool probing) {
+void TcpStream::set_tcp_keepalive(bool probing) {
   if (descriptor_ < 0) return;
   if (probing) {
-    probe_when_resting(descriptor_, kPromptProbeRest);
+    enable_tcp_keepalive(descriptor_, kFastKeepaliveIdle);
   } else {
-    stop_probing(descriptor_);
+    disable_tcp_keepalive(descriptor_);
   }
 }
 
--- a/src/http1/tcp_stream.h
+++ b/src/http1/tcp_stream.h
@@ -43,8 +43,8 @@
   TcpStream(int descriptor, StreamObserver& observer);
   /// Begins a connection to `address`; a failure is told from the loop. It is probed promptly
   /// where it rests.
-  /// @param unanswered_limit  bytes that the peer does not acknowledge for so long end it.
-  TcpStream(const Address& address, Duration unanswered_limit, StreamObserver& observer);
+  /// @param user_timeout  bytes that the peer does not acknowledge for so long end it.
+  TcpStream(const Address& address, Duration user_timeout, StreamObserver& observer);
   ~TcpStream() override;
   TcpStream(const TcpStream&) = delete;
   TcpStream& operator=(const TcpStream&) = delete;
@@ -58,7 +58,7 @@
   /// Stops or resumes reading, so that the sender is held back by TCP itself.
   void set_reading(bool reading);
   /// Whether a connection that was begun here is probed where it rests.
-  void set_probing(bool probing);
+  void set_tcp_keepalive(bool probing);
 
   bool is_open() const { return descriptor_ >= 0; }
   bool connected() const { return connected_; }
--- a/src/transport/connection_filter.cpp
+++ b/src/transport/connection_filter.cpp
@@ -13,8 +13,8 @@
 constexpr std::uint32_t kTcpFlagsOffset = 13;
 constexpr std::uint32_t kSynFlag = 0x02;
 /// How many bytes of a packet a filter lets pass.
-constexpr std::uint32_t kNothing = 0;
-constexpr std::uint32_t kEverything = 0xFFFFFFFF;
+constexpr std::uint32_t kDropPacket = 0;
+constexpr std::uint32_t kAcceptPacket = 0xFFFFFFFF;
 
 }  // namespace
 
@@ -24,8 +24,8 @@
   std::array<sock_filter, 4> program{{
       BPF_STMT(BPF_LD | BPF_B | BPF_ABS, kTcpFlagsOffset),
       BPF_JUMP(BPF_JMP | BPF_JSET | BPF_K, kSynFlag, 0, 1),
-      BPF_STMT(BPF_RET | BPF_K, kNothing),
-      BPF_STMT(BPF_RET | BPF_K, kEverything),
+      BPF_STMT(BPF_RET | BPF_K, kDropPacket),
+      BPF_STMT(BPF_RET | BPF_K, kAcceptPacket),
   }};
   const sock_fprog filter{program.size(), program.data()};
   return setsockopt(listening_descriptor, SOL_SOCKET, SO_ATTACH_FILTER, &filter, sizeof(filter)) ==
--- a/src/transport/peer_links.cpp
+++ b/src/transport/peer_links.cpp
@@ -10,7 +10,7 @@
 constexpr Duration kConnectTimeout = seconds(3);
 /// Messages that wait for one connection to be made: what an agent or a gateway says to one peer
 /// in more than the 3 s that this may take. Later ones say what is true by then.
-constexpr std::size_t kMostWaiting = 256;
+constexpr std::size_t kMaximumPendingMessages = 256;
 
 }  // namespace
 
@@ -49,7 +49,7 @@
   for (auto& [peer, link] : links_) {
     if (link.connection) link.connection->set_reading(reading);
   }
-  for (auto& [pointer, connection] : extra_) connection->set_reading(reading);
+  for (auto& [pointer, connection] : other_connections_) connection->set_reading(reading);
 }
 
 PeerLinks::Link* PeerLinks::ensure_link(PeerId peer) {
@@ -65,15 +65,15 @@
   return &link;
 }
 
-void PeerLinks::wait_for_connection(Link& link, WaitingMessage message) {
-  if (link.waiting.size() >= kMostWaiting) {
-    link.waiting.pop_front();
+void PeerLinks::queue_until_connected(Link& link, PendingMessage message) {
+  if (link.pending.size() >= kMaximumPendingMessages) {
+    link.pending.pop_front();
     metrics_.count("pumicemast_agent_peer_messages_dropped_total");
   }
-  link.waiting.push_back(std::move(message));
+  link.pending.push_back(std::move(message));
 }
 
-bool PeerLinks::has_room(WireConnection& connection) {
+bool PeerLinks::check_queue_limit(WireConnection& connection) {
   if (queue_limit_bytes_ == 0 || connection.queued_bytes() < queue_limit_bytes_) return true;
   if (connection.is_open()) metrics_.count("pumicemast_agent_peer_unread_total");
   connection.close("the peer does not read");
@@ -98,7 +98,7 @@
 
 void PeerLinks::attach(PeerId peer, WireConnection& connection) {
   const WireConnection* pointer = &connection;
-  connection.set_unanswered_limit(unanswered_limit_);
+  connection.set_user_timeout(user_timeout_);
   connection.start(
       {[this, peer](const wire::Frame& frame) { callbacks_.on_frame(peer, frame); },
        [this, peer, pointer](const std::string& reason) { on_closed(peer, pointer, reason); },
@@ -111,8 +111,8 @@
   if (link.connection) {
     // Both sides connected at once. The second is read, but not written to.
     WireConnection* second = connection.get();
-    extra_peers_[second] = peer;
-    extra_[second] = std::move(connection);
+    other_connection_peers_[second] = peer;
+    other_connections_[second] = std::move(connection);
     attach(peer, *second);
     return;
   }
@@ -123,40 +123,40 @@
 void PeerLinks::use_for_sending(Link& link, std::unique_ptr<WireConnection> connection) {
   link.connection = std::move(connection);
   link.connected_at = loop_now();
-  const auto waiting = std::move(link.waiting);
-  link.waiting.clear();
-  for (const auto& send_waiting : waiting) send_waiting(*link.connection);
+  const auto pending = std::move(link.pending);
+  link.pending.clear();
+  for (const auto& send_pending : pending) send_pending(*link.connection);
 }
 
 void PeerLinks::on_hello(PeerId peer, WireConnection* incoming) {
-  extra_peers_[incoming] = peer;
+  other_connection_peers_[incoming] = peer;
   Link& link = links_[peer];
   // Both may have connected at once: then each writes to its own, and reads both.
-  const bool at_once = link.connection && loop_now() - link.connected_at <= kConnectTimeout;
-  if (at_once) return;
-  std::unique_ptr<WireConnection> older = std::move(link.connection);
-  use_for_sending(link, std::move(extra_.at(incoming)));
-  extra_.erase(incoming);
-  if (older) give_up(peer, std::move(older));
+  const bool simultaneous = link.connection && loop_now() - link.connected_at <= kConnectTimeout;
+  if (simultaneous) return;
+  std::unique_ptr<WireConnection> replaced = std::move(link.connection);
+  use_for_sending(link, std::move(other_connections_.at(incoming)));
+  other_connections_.erase(incoming);
+  if (replaced) drop_replaced(peer, std::move(replaced));
 }
 
-void PeerLinks::give_up(PeerId peer, std::unique_ptr<WireConnection> older) {
+void PeerLinks::drop_replaced(PeerId peer, std::unique_ptr<WireConnection> replaced) {
   // Who had a connection would not have made another: the older one is lost to the peer, although
   // it may only be silent here. Kept until its end is reported.
-  WireConnection* connection = older.get();
-  extra_peers_[connection] = peer;
-  extra_[connection] = std::move(older);
+  WireConnection* connection = replaced.get();
+  other_connection_peers_[connection] = peer;
+  other_connections_[connection] = std::move(replaced);
   connection->close("the peer connected anew");
   callbacks_.on_lost(peer);
 }
 
 void PeerLinks::on_incoming(std::unique_ptr<WireConnection> connection) {
   WireConnection* pointer = connection.get();
-  extra_[pointer] = std::move(connection);
-  pointer->set_unanswered_limit(unanswered_limit_);
+  other_connections_[pointer] = std::move(connection);
+  pointer->set_user_timeout(user_timeout_);
   pointer->start({[this, pointer](const wire::Frame& frame) {
-                    const auto known = extra_peers_.find(pointer);
-                    if (known != extra_peers_.end()) {
+                    const auto known = other_connection_peers_.find(pointer);
+                    if (known != other_connection_peers_.end()) {
                       callbacks_.on_frame(known->second, frame);
                       return;
                     }
@@ -168,13 +168,14 @@
                     on_hello(stable_hash(hello->machine()->string_view()), pointer);
                   },
                   [this, pointer](const std::string& reason) {
-                    const auto known = extra_peers_.find(pointer);
-                    const PeerId peer = known == extra_peers_.end() ? 0 : known->second;
+                    const auto known = other_connection_peers_.find(pointer);
+                    const PeerId peer = known == other_connection_peers_.end() ? 0 : known->second;
                     on_closed(peer, pointer, reason);
                   },
                   [this, pointer] {
-                    const auto known = extra_peers_.find(pointer);
-                    if (known != extra_peers_.end()) callbacks_.on_drained(known->second);
+                    const auto known = other_connection_peers_.find(pointer);
+                    if (known != other_connection_peers_.end())
+                      callbacks_.on_drained(known->second);
                   }});
   if (!reading_) pointer->set_reading(false);
 }
@@ -185,25 +186,27 @@
   if (reason == "oversize frame" || reason == "malformed frame") {
     metrics_.count("pumicemast_agent_bad_frames_total", {{"reason", reason}});
   }
-  extra_peers_.erase(connection);
-  extra_.erase(connection);
+  other_connection_peers_.erase(connection);
+  other_connections_.erase(connection);
   const auto found = links_.find(peer);
   if (found == links_.end() || found->second.connection.get() != connection) return;
   links_.erase(found);
-  use_second_connection(peer);
+  promote_second_connection(peer);
   callbacks_.on_lost(peer);
 }
 
-void PeerLinks::use_second_connection(PeerId peer) {
+void PeerLinks::promote_second_connection(PeerId peer) {
   // A peer without an address can't be connected to: without its other connection it would be read
   // and never written to, for good.
-  const auto second = std::find_if(extra_.begin(), extra_.end(), [&](const auto& entry) {
-    const auto named = extra_peers_.find(entry.first);
-    return named != extra_peers_.end() && named->second == peer && entry.second->is_open();
-  });
-  if (second == extra_.end()) return;
+  const auto second =
+      std::find_if(other_connections_.begin(), other_connections_.end(), [&](const auto& entry) {
+        const auto identified = other_connection_peers_.find(entry.first);
+        return identified != other_connection_peers_.end() && identified->second == peer &&
+               entry.second->is_open();
+      });
+  if (second == other_connections_.end()) return;
   std::unique_ptr<WireConnection> connection = std::move(second->second);
-  extra_.erase(second);
+  other_connections_.erase(second);
   use_for_sending(links_[peer], std::move(connection));
 }
 
--- a/src/transport/peer_links.h
+++ b/src/transport/peer_links.h
@@ -28,7 +28,7 @@
   PeerLinks(std::string machine, Metrics& metrics, Callbacks callbacks);
 
   /// Bytes that a peer does not acknowledge for so long end the connection. Set before use.
-  void set_unanswered_limit(Duration limit) { unanswered_limit_ = limit; }
+  void set_user_timeout(Duration limit) { user_timeout_ = limit; }
   /// A connection in which so many bytes wait is ended; zero for no limit. Set before use.
   void set_queue_limit(std::size_t bytes) { queue_limit_bytes_ = bytes; }
   /// Listens for others.
@@ -44,10 +44,10 @@
     Link* link = ensure_link(peer);
     if (link == nullptr) return;
     if (link->connection) {
-      if (has_room(*link->connection)) link->connection->send(message);
+      if (check_queue_limit(*link->connection)) link->connection->send(message);
     } else {
-      wait_for_connection(*link,
-                          [message](WireConnection& connection) { connection.send(message); });
+      queue_until_connected(*link,
+                            [message](WireConnection& connection) { connection.send(message); });
     }
   }
   std::size_t queued_bytes(PeerId peer) const;
@@ -59,15 +59,15 @@
   std::size_t size() const { return links_.size(); }
 
  private:
-  using WaitingMessage = std::function<void(WireConnection&)>;
+  using PendingMessage = std::function<void(WireConnection&)>;
   struct Link {
     std::unique_ptr<WireConnection> connection;  ///< Null while connecting.
-    std::deque<WaitingMessage> waiting;
+    std::deque<PendingMessage> pending;
     TimePoint connected_at{};
   };
-  void wait_for_connection(Link& link, WaitingMessage message);
+  void queue_until_connected(Link& link, PendingMessage message);
   /// Ends a connection in which more waits than a peer that reads can leave there.
-  bool has_room(WireConnection& connection);
+  bool check_queue_limit(WireConnection& connection);
   Link* ensure_link(PeerId peer);
   void on_connected(PeerId peer, std::unique_ptr<WireConnection> connection);
   void on_incoming(std::unique_ptr<WireConnection> connection);
@@ -75,9 +75,9 @@
   void attach(PeerId peer, WireConnection& connection);
   void use_for_sending(Link& link, std::unique_ptr<WireConnection> connection);
   void on_hello(PeerId peer, WireConnection* incoming);
-  void give_up(PeerId peer, std::unique_ptr<WireConnection> older);
+  void drop_replaced(PeerId peer, std::unique_ptr<WireConnection> replaced);
   /// What was to be sent goes over another connection of the peer, if there is one.
-  void use_second_connection(PeerId peer);
+  void promote_second_connection(PeerId peer);
   void on_closed(PeerId peer, const WireConnection* connection, const std::string& reason);
 
   std::string machine_;
@@ -87,10 +87,10 @@
   std::map<PeerId, Address> addresses_;
   std::map<PeerId, Link> links_;
   /// Connections that have not said who they are, and second ones to a known peer.
-  std::map<const WireConnection*, std::unique_ptr<WireConnection>> extra_;
-  std::map<const WireConnection*, PeerId> extra_peers_;
+  std::map<const WireConnection*, std::unique_ptr<WireConnection>> other_connections_;
+  std::map<const WireConnection*, PeerId> other_connection_peers_;
   bool reading_ = true;
-  Duration unanswered_limit_ = Duration::zero();
+  Duration user_timeout_ = Duration::zero();
   std::size_t queue_limit_bytes_ = 0;
 };
 
--- a/src/transport/socket_poller.cpp
+++ b/src/transport/socket_poller.cpp
@@ -9,7 +9,7 @@
 namespace pumicemast {
 namespace {
 
-constexpr int kEventsPerTurn = 64;
+constexpr int kEventsPerIteration = 64;
 
 }  // namespace
 
@@ -60,8 +60,8 @@
 
 gboolean SocketPoller::dispatch(gint, GIOCondition, gpointer self) {
   auto* poller = static_cast<SocketPoller*>(self);
-  std::array<epoll_event, kEventsPerTurn> events{};
-  const int count = epoll_wait(poller->epoll_, events.data(), kEventsPerTurn, 0);
+  std::array<epoll_event, kEventsPerIteration> events{};
+  const int count = epoll_wait(poller->epoll_, events.data(), kEventsPerIteration, 0);
   for (int index = 0; index < count; ++index) {
     const epoll_event& event = events[static_cast<std::size_t>(index)];
     const Registration registration = event.data.u64;
--- a/src/transport/silence_limits.cpp
+++ b/src/transport/tcp_keepalive.cpp
@@ -1,4 +1,4 @@
-#include "transport/silence_limits.h"
+#include "transport/tcp_keepalive.h"
 
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -10,10 +10,10 @@
 namespace {
 
 /// The least that the system knows.
-constexpr int kProbeIntervalSeconds = 1;
+constexpr int kKeepaliveIntervalSeconds = 1;
 /// Where no limit of unacknowledged bytes is set, which the system heeds instead. At a loss of a
 /// tenth of all packets each way, four in a row fail once in 770 times.
-constexpr int kUnansweredProbes = 4;
+constexpr int kKeepaliveProbes = 4;
 
 void set_option(int descriptor, int level, int name, int value) {
   static_cast<void>(setsockopt(descriptor, level, name, &value, sizeof(value)));
@@ -21,18 +21,18 @@
 
 }  // namespace
 
-void probe_when_resting(int descriptor, Duration rest) {
-  const auto rest_s =
-      std::max<std::int64_t>(1, to_milliseconds(rest) / to_milliseconds(seconds(1)));
-  set_option(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, static_cast<int>(rest_s));
-  set_option(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, kProbeIntervalSeconds);
-  set_option(descriptor, IPPROTO_TCP, TCP_KEEPCNT, kUnansweredProbes);
+void enable_tcp_keepalive(int descriptor, Duration idle_time) {
+  const auto idle_s =
+      std::max<std::int64_t>(1, to_milliseconds(idle_time) / to_milliseconds(seconds(1)));
+  set_option(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, static_cast<int>(idle_s));
+  set_option(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, kKeepaliveIntervalSeconds);
+  set_option(descriptor, IPPROTO_TCP, TCP_KEEPCNT, kKeepaliveProbes);
   set_option(descriptor, SOL_SOCKET, SO_KEEPALIVE, 1);
 }
 
-void stop_probing(int descriptor) { set_option(descriptor, SOL_SOCKET, SO_KEEPALIVE, 0); }
+void disable_tcp_keepalive(int descriptor) { set_option(descriptor, SOL_SOCKET, SO_KEEPALIVE, 0); }
 
-void limit_unacknowledged(int descriptor, Duration limit) {
+void set_tcp_user_timeout(int descriptor, Duration limit) {
   set_option(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(to_milliseconds(limit)));
 }
 
--- a/src/transport/wire_connection.cpp
+++ b/src/transport/wire_connection.cpp
@@ -5,14 +5,14 @@
 
 #include <array>
 
-#include "transport/silence_limits.h"
+#include "transport/tcp_keepalive.h"
 
 namespace pumicemast {
 namespace {
 
 constexpr std::size_t kReadBytes = 256U * 1024U;
 /// Reads in one turn of the loop, so that one busy peer cannot starve the others.
-constexpr int kReadsPerTurn = 4;
+constexpr int kReadsPerIteration = 4;
 
 }  // namespace
 
@@ -21,13 +21,13 @@
       socket_(g_socket_connection_get_socket(connection_.get())) {
   g_socket_set_blocking(socket_, FALSE);
   g_socket_set_option(socket_, IPPROTO_TCP, TCP_NODELAY, 1, nullptr);
-  probe_when_resting(g_socket_get_fd(socket_), kLinkProbeRest);
+  enable_tcp_keepalive(g_socket_get_fd(socket_), kInternalKeepaliveIdle);
 }
 
 WireConnection::~WireConnection() {
   callbacks_ = {};
   close("destroyed");
-  if (closed_report_ != 0) g_source_remove(closed_report_);
+  if (closed_source_ != 0) g_source_remove(closed_source_);
 }
 
 void WireConnection::start(Callbacks callbacks) {
@@ -48,9 +48,9 @@
   update_interest();
 }
 
-void WireConnection::set_unanswered_limit(Duration limit) {
+void WireConnection::set_user_timeout(Duration limit) {
   if (limit <= Duration::zero() || !open_) return;
-  limit_unacknowledged(g_socket_get_fd(socket_), limit);
+  set_tcp_user_timeout(g_socket_get_fd(socket_), limit);
 }
 
 void WireConnection::on_readable() {
@@ -65,7 +65,7 @@
 
 void WireConnection::read_available() {
   static std::array<std::uint8_t, kReadBytes> buffer;  // One loop on one thread.
-  for (int turn = 0; turn < kReadsPerTurn && open_ && reading_; ++turn) {
+  for (int iteration = 0; iteration < kReadsPerIteration && open_ && reading_; ++iteration) {
     GError* error = nullptr;
     const gssize count = g_socket_receive(socket_, reinterpret_cast<gchar*>(buffer.data()),
                                           buffer.size(), nullptr, &error);
@@ -100,11 +100,11 @@
 
 bool WireConnection::write_available() {
   while (!outgoing_.empty()) {
-    const auto& head = outgoing_.front();
+    const auto& front = outgoing_.front();
     GError* error = nullptr;
     const gssize count =
-        g_socket_send(socket_, reinterpret_cast<const gchar*>(head.data()) + head_offset_,
-                      head.size() - head_offset_, nullptr, &error);
+        g_socket_send(socket_, reinterpret_cast<const gchar*>(front.data()) + front_offset_,
+                      front.size() - front_offset_, nullptr, &error);
     if (count < 0) {
       const bool would_block = g_error_matches(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK) != 0;
       const std::string reason = error->message;
@@ -112,11 +112,11 @@
       if (!would_block) close(reason);
       return would_block;
     }
-    head_offset_ += static_cast<std::size_t>(count);
+    front_offset_ += static_cast<std::size_t>(count);
     queued_bytes_ -= static_cast<std::size_t>(count);
-    if (head_offset_ == head.size()) {
+    if (front_offset_ == front.size()) {
       outgoing_.pop_front();
-      head_offset_ = 0;
+      front_offset_ = 0;
     }
   }
   return false;
@@ -139,12 +139,12 @@
   queued_bytes_ = 0;
   g_io_stream_close(G_IO_STREAM(connection_.get()), nullptr, nullptr);
   // Reported from the loop, so that the owner may destroy the connection in on_closed.
-  if (callbacks_.on_closed) closed_report_ = g_idle_add(&WireConnection::report_closed, this);
+  if (callbacks_.on_closed) closed_source_ = g_idle_add(&WireConnection::report_closed, this);
 }
 
 gboolean WireConnection::report_closed(gpointer self) {
   auto* connection = static_cast<WireConnection*>(self);
-  connection->closed_report_ = 0;
+  connection->closed_source_ = 0;
   const auto on_closed = std::move(connection->callbacks_.on_closed);
   const std::string reason = connection->close_reason_;
   if (on_closed) on_closed(reason);
--- a/src/transport/wire_connection.h
+++ b/src/transport/wire_connection.h
@@ -47,7 +47,7 @@
   void set_reading(bool reading);
   /// Bytes that the peer does not acknowledge for so long end the connection; zero leaves it
   /// to the system.
-  void set_unanswered_limit(Duration limit);
+  void set_user_timeout(Duration limit);
   bool is_open() const { return open_; }
   std::size_t queued_bytes() const { return queued_bytes_; }
 
@@ -65,11 +65,11 @@
   GSocket* socket_;
   SocketPoller::Registration registration_ = 0;  ///< 0 before start() and after close().
   bool writing_ = false;                         ///< Waits until the socket takes more.
-  guint closed_report_ = 0;
+  guint closed_source_ = 0;
   Callbacks callbacks_;
   FrameReader reader_;
   std::deque<EncodedFrame> outgoing_;
-  std::size_t head_offset_ = 0;
+  std::size_t front_offset_ = 0;
   std::size_t queued_bytes_ = 0;
   bool open_ = true;
   bool reading_ = true;
--- a/tests/transport/frame_codec_test.cpp
+++ b/tests/transport/frame_codec_test.cpp
@@ -7,15 +7,15 @@
 
 class FrameCodecTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FrameCodecTest);
-  CPPUNIT_TEST(reassembles_frames_from_any_pieces);
+  CPPUNIT_TEST(reassembles_frames_split_anywhere);
   CPPUNIT_TEST(reads_wide_scalars);
   CPPUNIT_TEST(refuses_oversize_frames_before_reading_them);
-  CPPUNIT_TEST(survives_hostile_bytes);
+  CPPUNIT_TEST(rejects_or_reads_invalid_bytes_safely);
   CPPUNIT_TEST(refuses_a_frame_without_required_fields);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void reassembles_frames_from_any_pieces() {
+  void reassembles_frames_split_anywhere() {
     const bool held = rc::check("frames survive any cutting", [] {
       const auto chunks = *rc::gen::arbitrary<std::vector<std::uint32_t>>();
       std::vector<std::uint8_t> stream;
@@ -70,7 +70,7 @@
     CPPUNIT_ASSERT(FrameFault::oversize == reader.consume(prefix, [](const wire::Frame&) {}));
   }
 
-  void survives_hostile_bytes() {
+  void rejects_or_reads_invalid_bytes_safely() {
     const bool held = rc::check("no bytes crash the reader", [] {
       const auto payload = *rc::gen::arbitrary<std::vector<std::uint8_t>>();
       std::vector<std::uint8_t> bytes(4);
--- a/tests/transport/peer_links_test.cpp
+++ b/tests/transport/peer_links_test.cpp
@@ -27,19 +27,19 @@
 /// Real sockets; every wait is for a condition.
 class PeerLinksTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PeerLinksTest);
-  CPPUNIT_TEST(what_waits_for_a_connection_is_bounded);
-  CPPUNIT_TEST(a_peer_that_does_not_read_is_given_up);
-  CPPUNIT_TEST(a_peer_that_connects_anew_is_answered_there);
-  CPPUNIT_TEST(two_that_connect_at_once_keep_what_they_said);
-  CPPUNIT_TEST(a_peer_is_answered_on_its_second_connection_once_the_first_ends);
+  CPPUNIT_TEST(bounds_messages_pending_for_a_connection);
+  CPPUNIT_TEST(drops_the_connection_of_a_peer_that_does_not_read);
+  CPPUNIT_TEST(sends_over_the_new_connection_of_a_reconnected_peer);
+  CPPUNIT_TEST(keeps_both_connections_after_simultaneous_connects);
+  CPPUNIT_TEST(sends_over_the_second_connection_when_the_first_closes);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   // While machines could not reach each other, whatever was to be told to them gathered for each
   // of up to a hundred peers, and all of it came, long untrue, when a connection was made.
-  void what_waits_for_a_connection_is_bounded() {
+  void bounds_messages_pending_for_a_connection() {
     constexpr std::uint32_t kMessages = 5000;
-    constexpr std::size_t kMostWaiting = 256;
+    constexpr std::size_t kMaximumPendingMessages = 256;
     const Address address = free_address();
     std::vector<std::uint32_t> received;
     PeerLinks other("other", metrics_,
@@ -60,16 +60,16 @@
       links_.send(kPeer, numbered(number));
     }
     run_until([&] { return !received.empty() && received.back() == kMessages; });
-    CPPUNIT_ASSERT(received.size() <= kMostWaiting);
+    CPPUNIT_ASSERT(received.size() <= kMaximumPendingMessages);
   }
 
   // The same with a peer that takes the connection and stands still.
-  void a_peer_that_does_not_read_is_given_up() {
+  void drops_the_connection_of_a_peer_that_does_not_read() {
     constexpr std::size_t kChunkBytes = 32U << 10U;
-    constexpr std::size_t kMostQueued = 5U << 20U;
+    constexpr std::size_t kMaximumQueuedBytes = 5U << 20U;
     ScriptedServer peer;
     links_.set_address(kPeer, peer.address());
-    links_.set_queue_limit(kMostQueued - kChunkBytes * 2);
+    links_.set_queue_limit(kMaximumQueuedBytes - kChunkBytes * 2);
     links_.send(kPeer, numbered(0));
     run_until([&] { return links_.connected(kPeer); });
     wire::ChunkDataT chunk;
@@ -77,41 +77,41 @@
     chunk.bytes.resize(kChunkBytes);
     for (int count = 0; count < 1000; ++count) {
       links_.send(kPeer, chunk);
-      CPPUNIT_ASSERT(links_.queued_bytes(kPeer) <= kMostQueued);
+      CPPUNIT_ASSERT(links_.queued_bytes(kPeer) <= kMaximumQueuedBytes);
     }
-    run_until([&] { return lost_ == 1; });
+    run_until([&] { return lost_count_ == 1; });
   }
 
   // Answers were lost for seconds more: who had noticed that its link was silent connected anew
   // and asked, and was answered over the old connection.
-  void a_peer_that_connects_anew_is_answered_there() {
+  void sends_over_the_new_connection_of_a_reconnected_peer() {
     const Address address = free_address();
     listen(address);
     auto old_connection = connect(address);
     run_until([&] { return links_.connected(kNamedPeer); });
-    pass(kLongerThanConnecting);
-    CPPUNIT_ASSERT_EQUAL(0, lost_);
+    run_for(kLongerThanConnectTimeout);
+    CPPUNIT_ASSERT_EQUAL(0, lost_count_);
     auto new_connection = connect(address);
-    std::uint32_t answered = 0;
+    std::uint32_t received_chunk = 0;
     new_connection->start(
-        {[&](const wire::Frame& frame) { answered = frame.body_as_ChunkRequest()->chunk(); },
+        {[&](const wire::Frame& frame) { received_chunk = frame.body_as_ChunkRequest()->chunk(); },
          [](const std::string&) {},
          {}});
-    run_until([&] { return asked_ == 2; });
+    run_until([&] { return frames_received_ == 2; });
     links_.send(kNamedPeer, numbered(7));
-    run_until([&] { return answered == 7; });
-    CPPUNIT_ASSERT_EQUAL(1, lost_);  // What was on its way is to be asked for again.
+    run_until([&] { return received_chunk == 7; });
+    CPPUNIT_ASSERT_EQUAL(1, lost_count_);  // What was on its way is to be asked for again.
     CPPUNIT_ASSERT(links_.connected(kNamedPeer));
   }
 
-  void two_that_connect_at_once_keep_what_they_said() {
+  void keeps_both_connections_after_simultaneous_connects() {
     const Address address = free_address();
     listen(address);
     auto first = connect(address);
     auto second = connect(address);
-    run_until([&] { return asked_ == 2; });
-    pass(milliseconds(50));
-    CPPUNIT_ASSERT_EQUAL(0, lost_);
+    run_until([&] { return frames_received_ == 2; });
+    run_for(milliseconds(50));
+    CPPUNIT_ASSERT_EQUAL(0, lost_count_);
     CPPUNIT_ASSERT(first->is_open() && second->is_open());
   }
 
@@ -119,25 +119,25 @@
   // connection to an agent went silent within seconds and it connected again. The agent read the
   // second connection and wrote to the first; when that ended it wrote to none, as it knows no
   // address of gateways. All three agents told nothing, while they took what the gateway asked.
-  void a_peer_is_answered_on_its_second_connection_once_the_first_ends() {
+  void sends_over_the_second_connection_when_the_first_closes() {
     const Address address = free_address();
     listen(address);
     auto first = connect(address);
     auto second = connect(address);
-    std::uint32_t answered = 0;
+    std::uint32_t received_chunk = 0;
     second->start(
-        {[&](const wire::Frame& frame) { answered = frame.body_as_ChunkRequest()->chunk(); },
+        {[&](const wire::Frame& frame) { received_chunk = frame.body_as_ChunkRequest()->chunk(); },
          [](const std::string&) {},
          {}});
-    run_until([&] { return asked_ == 2; });
+    run_until([&] { return frames_received_ == 2; });
     first->close("silent");
-    run_until([&] { return lost_ == 1; });
+    run_until([&] { return lost_count_ == 1; });
     links_.send(kNamedPeer, numbered(7));
-    run_until([&] { return answered == 7; });
+    run_until([&] { return received_chunk == 7; });
   }
 
  private:
-  static constexpr Duration kLongerThanConnecting = milliseconds(3200);
+  static constexpr Duration kLongerThanConnectTimeout = milliseconds(3200);
 
   void listen(const Address& address) {
     const bool listens = handle_error(
@@ -163,23 +163,23 @@
     return result;
   }
 
-  static void pass(Duration duration) {
+  static void run_for(Duration duration) {
     const TimePoint end = loop_now() + duration;
     run_until([&] { return loop_now() >= end; });
   }
 
   static Address free_address() {
-    const ScriptedServer gone;
-    return gone.address();
+    const ScriptedServer closed_server;
+    return closed_server.address();
   }
 
   Metrics metrics_;
-  int lost_ = 0;
-  int asked_ = 0;
+  int lost_count_ = 0;
+  int frames_received_ = 0;
   PeerLinks links_{"self",
                    metrics_,
-                   {[this](PeerId, const wire::Frame&) { ++asked_; }, [this](PeerId) { ++lost_; },
-                    [](PeerId) {}}};
+                   {[this](PeerId, const wire::Frame&) { ++frames_received_; },
+                    [this](PeerId) { ++lost_count_; }, [](PeerId) {}}};
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(PeerLinksTest);
--- a/tests/transport/wire_connection_test.cpp
+++ b/tests/transport/wire_connection_test.cpp
@@ -34,9 +34,9 @@
 /// Real sockets on the default main context; every wait is for a condition.
 class WireConnectionTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(WireConnectionTest);
-  CPPUNIT_TEST(a_connection_held_back_by_another_stays_open);
-  CPPUNIT_TEST(what_was_sent_before_closing_arrives);
-  CPPUNIT_TEST(both_ends_of_a_connection_probe_it);
+  CPPUNIT_TEST(stays_open_when_another_connection_pauses_reading);
+  CPPUNIT_TEST(delivers_data_sent_before_close);
+  CPPUNIT_TEST(enables_keepalive_on_both_ends);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -68,7 +68,7 @@
 
   /// Both sockets are ready in one turn, and the first frame holds the other one back: the
   /// event for the other is delivered all the same, and must not be taken for a failure.
-  void a_connection_held_back_by_another_stays_open() {
+  void stays_open_when_another_connection_pauses_reading() {
     std::vector<std::uint32_t> received;
     std::uint32_t closed = 0;
     for (std::size_t index = 0; index < servers_.size(); ++index) {
@@ -81,7 +81,7 @@
     }
     for (auto& client : clients_) client->send(request(7));
     run_until([&] { return received.size() == 1; });
-    for (int turn = 0; turn < 20; ++turn) g_main_context_iteration(nullptr, FALSE);
+    for (int iteration = 0; iteration < 20; ++iteration) g_main_context_iteration(nullptr, FALSE);
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, closed);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, received.size());
     for (auto& server : servers_) server->set_reading(true);
@@ -89,14 +89,14 @@
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, closed);
   }
 
-  void what_was_sent_before_closing_arrives() {
+  void delivers_data_sent_before_close() {
     std::uint32_t received = 0;
     std::string reason;
     servers_[0]->start({[&](const wire::Frame&) { ++received; },
-                        [&](const std::string& why) { reason = why; },
+                        [&](const std::string& close_reason) { reason = close_reason; },
                         {}});
     servers_[1]->start({[&](const wire::Frame&) { ++received; },
-                        [&](const std::string& why) { reason = why; },
+                        [&](const std::string& close_reason) { reason = close_reason; },
                         {}});
     for (std::uint32_t chunk = 0; chunk < 100; ++chunk) clients_[0]->send(request(chunk));
     clients_[0]->close("done");
@@ -106,7 +106,7 @@
   }
 
   // A link over which nothing has to be sent went silent, and stayed the one that was used.
-  void both_ends_of_a_connection_probe_it() {
+  void enables_keepalive_on_both_ends() {
     const std::vector<int> descriptors = connected_descriptors();
     CPPUNIT_ASSERT_EQUAL(std::size_t{4}, descriptors.size());
     for (const int descriptor : descriptors) {
@@ -126,9 +126,9 @@
 
   /// Of both ends of the fixture's connections.
   std::vector<int> connected_descriptors() const {
-    constexpr int kSearched = 1024;
+    constexpr int kMaximumDescriptors = 1024;
     std::vector<int> result;
-    for (int descriptor = 0; descriptor < kSearched; ++descriptor) {
+    for (int descriptor = 0; descriptor < kMaximumDescriptors; ++descriptor) {
       const bool either_end =
           port_of(descriptor, &getsockname) == port_ || port_of(descriptor, &getpeername) == port_;
       if (either_end && port_of(descriptor, &getpeername) != 0) result.push_back(descriptor);
