--- a/src/transport/backend_list_messages.h
+++ b/src/transport/backend_list_messages.h
@@ -1,4 +1,4 @@
-/// The list of back ends on the wire between pumicemast's own processes.
+/// Converts updates of the list of back ends to and from their wire messages.
 #pragma once
 
 #include "fleet/backend_list.h"
@@ -7,7 +7,7 @@
 namespace pumicemast {
 
 wire::BackendChangesT encode(const BackendChanges& changes);
-/// An entry without a usable address is left out; the others hold.
+/// Skips entries without a valid address and keeps the others.
 BackendChanges decode(const wire::BackendChanges& message);
 
 }  // namespace pumicemast
--- a/src/transport/connection_filter.cpp
+++ b/src/transport/connection_filter.cpp
@@ -9,18 +9,19 @@
 namespace pumicemast {
 namespace {
 
-/// Offset of the flags in a TCP header, and the flag of a connection's first packet.
+/// Offset of the flags in a TCP header, and the flag that marks the first packet of a connection.
 constexpr std::uint32_t kTcpFlagsOffset = 13;
 constexpr std::uint32_t kSynFlag = 0x02;
-/// How many bytes of a packet a filter lets pass.
+/// Return values of a socket filter: the number of bytes of the packet to keep.
 constexpr std::uint32_t kDropPacket = 0;
 constexpr std::uint32_t kAcceptPacket = 0xFFFFFFFF;
 
 }  // namespace
 
 bool refuse_new_connections(int listening_descriptor) {
-  // Closing a listening socket resets the connections in its queue, whose callers may have sent a
-  // request already. Without first packets the queue runs empty before that.
+  // Closing a listening socket resets the connections in its accept queue, whose callers may
+  // already have sent a request. Dropping SYN packets lets the queue drain before the socket is
+  // closed.
   std::array<sock_filter, 4> program{{
       BPF_STMT(BPF_LD | BPF_B | BPF_ABS, kTcpFlagsOffset),
       BPF_JUMP(BPF_JMP | BPF_JSET | BPF_K, kSynFlag, 0, 1),
--- a/src/transport/frame_codec.cpp
+++ b/src/transport/frame_codec.cpp
@@ -22,8 +22,8 @@
       break;
     }
     if (pending_.size() - position - kPrefixBytes < length) break;
-    // A copy at an aligned address, with its prefix: FlatBuffers reads scalars in place and
-    // lays them out counting from the prefix.
+    // Copies the frame, with its prefix, to an aligned address: FlatBuffers reads scalars in place
+    // and aligns them relative to the prefix.
     const auto* begin = pending_.data() + position;
     const std::vector<std::uint8_t> frame(begin, begin + kPrefixBytes + length);
     flatbuffers::Verifier verifier(frame.data(), frame.size());
--- a/src/transport/frame_codec.h
+++ b/src/transport/frame_codec.h
@@ -1,6 +1,6 @@
 /// Framing of FlatBuffers messages on a byte stream.
 ///
-/// A frame is a 32-bit little-endian payload length and a verified wire::Frame.
+/// A frame is a 32-bit little-endian payload length followed by a wire::Frame.
 #pragma once
 
 #include <cstddef>
@@ -13,25 +13,25 @@
 
 namespace pumicemast {
 
-/// Largest accepted payload: one weight chunk and its table.
+/// Largest accepted payload in bytes: one weight chunk and the table around it.
 constexpr std::size_t kMaximumFrameBytes = 40U * 1024U * 1024U;
 
-/// Why a byte stream was refused.
+/// Why a byte stream was rejected.
 enum class FrameFault { none, oversize, malformed };
 
-/// An encoded frame, owned without a further copy.
+/// An encoded frame that owns the buffer of its builder, without a copy.
 using EncodedFrame = flatbuffers::DetachedBuffer;
 
 /// Encodes `body` with its length prefix.
 template <class Table>
 EncodedFrame encode_frame(const Table& body);
 
-/// Reassembles frames from arbitrary pieces of a stream.
+/// Reassembles frames from a byte stream that arrives in pieces of any size.
 class FrameReader {
  public:
   using OnFrame = std::function<void(const wire::Frame&)>;
 
-  /// Consumes `bytes` and calls `on_frame` for each whole, verified frame. The frame is
+  /// Consumes `bytes` and calls `on_frame` for each complete, verified frame. The frame is
   /// valid only during the call. After a fault the reader must not be used again.
   FrameFault consume(std::span<const std::uint8_t> bytes, const OnFrame& on_frame);
 
@@ -44,7 +44,7 @@
   flatbuffers::FlatBufferBuilder builder;
   const auto offset = Table::TableType::Pack(builder, &body);
   const auto type = wire::BodyTraits<typename Table::TableType>::enum_value;
-  // FlatBuffers' size prefix is the frame's length prefix: 32 bits, little-endian.
+  // The size prefix of FlatBuffers serves as the length prefix: 32 bits, little-endian.
   builder.FinishSizePrefixed(wire::CreateFrame(builder, type, offset.Union()));
   return builder.Release();
 }
--- a/src/transport/peer_links.cpp
+++ b/src/transport/peer_links.cpp
@@ -8,8 +8,9 @@
 namespace {
 
 constexpr Duration kConnectTimeout = seconds(3);
-/// Messages that wait for one connection to be made: what an agent or a gateway says to one peer
-/// in more than the 3 s that this may take. Later ones say what is true by then.
+/// Most messages that are queued while a connection to a peer is being established: more than an
+/// agent or a gateway sends to one peer within the 3 s of kConnectTimeout. The oldest are dropped
+/// first, since later messages carry more recent state.
 constexpr std::size_t kMaximumPendingMessages = 256;
 
 }  // namespace
@@ -85,7 +86,8 @@
   if (found == links_.end()) return;
   if (!connection) {
     metrics_.count("pumicemast_agent_peer_connect_failures_total");
-    if (found->second.connection) return;  // The peer connected to us meanwhile.
+    if (found->second.connection)
+      return;  // The peer has connected to this process in the meantime.
     links_.erase(found);
     callbacks_.on_lost(peer);
     return;
@@ -109,7 +111,7 @@
 void PeerLinks::adopt(PeerId peer, std::unique_ptr<WireConnection> connection) {
   Link& link = links_[peer];
   if (link.connection) {
-    // Both sides connected at once. The second is read, but not written to.
+    // Both sides connected at the same time. The second connection is read but not written to.
     WireConnection* second = connection.get();
     other_connection_peers_[second] = peer;
     other_connections_[second] = std::move(connection);
@@ -131,7 +133,8 @@
 void PeerLinks::on_hello(PeerId peer, WireConnection* incoming) {
   other_connection_peers_[incoming] = peer;
   Link& link = links_[peer];
-  // Both may have connected at once: then each writes to its own, and reads both.
+  // Both sides may have connected at the same time. Each side then writes to the connection that it
+  // opened and reads from both.
   const bool simultaneous = link.connection && loop_now() - link.connected_at <= kConnectTimeout;
   if (simultaneous) return;
   std::unique_ptr<WireConnection> replaced = std::move(link.connection);
@@ -141,8 +144,9 @@
 }
 
 void PeerLinks::drop_replaced(PeerId peer, std::unique_ptr<WireConnection> replaced) {
-  // Who had a connection would not have made another: the older one is lost to the peer, although
-  // it may only be silent here. Kept until its end is reported.
+  // A peer that still had its old connection would not have opened another, so the old one is dead
+  // for the peer even if it merely appears idle here. The object is kept until on_closed() reports
+  // its end.
   WireConnection* connection = replaced.get();
   other_connection_peers_[connection] = peer;
   other_connections_[connection] = std::move(replaced);
@@ -196,8 +200,8 @@
 }
 
 void PeerLinks::promote_second_connection(PeerId peer) {
-  // A peer without an address can't be connected to: without its other connection it would be read
-  // and never written to, for good.
+  // This process cannot connect to a peer whose address it does not know. Unless sending moves to
+  // the peer's other connection, messages from the peer would be read but none ever sent to it.
   const auto second =
       std::find_if(other_connections_.begin(), other_connections_.end(), [&](const auto& entry) {
         const auto identified = other_connection_peers_.find(entry.first);
--- a/src/transport/peer_links.h
+++ b/src/transport/peer_links.h
@@ -1,4 +1,4 @@
-/// Connections between processes that know each other by name, opened when first needed.
+/// Connections between processes that identify each other by name, opened on the first send.
 #pragma once
 
 #include <deque>
@@ -18,27 +18,29 @@
  public:
   struct Callbacks {
     std::function<void(PeerId, const wire::Frame&)> on_frame;
-    /// Every connection to the peer is gone, or was until it connected anew: what was on its way
-    /// may be lost.
+    /// The connection used for sending to the peer was lost, replaced by a new one or could not be
+    /// established: messages in transit may be lost.
     std::function<void(PeerId)> on_lost;
-    /// All queued bytes to the peer were handed to the system.
+    /// All bytes queued for the peer have been written to the socket.
     std::function<void(PeerId)> on_drained;
   };
 
   PeerLinks(std::string machine, Metrics& metrics, Callbacks callbacks);
 
-  /// Bytes that a peer does not acknowledge for so long end the connection. Set before use.
+  /// Closes a connection whose sent bytes the peer has not acknowledged for `limit`. Set before
+  /// any connection is made.
   void set_user_timeout(Duration limit) { user_timeout_ = limit; }
-  /// A connection in which so many bytes wait is ended; zero for no limit. Set before use.
+  /// Closes a connection once this many bytes are queued on it; zero means no limit. Set before
+  /// use.
   void set_queue_limit(std::size_t bytes) { queue_limit_bytes_ = bytes; }
-  /// Listens for others.
+  /// Accepts connections from peers on `address`.
   leaf::result<void> listen(const Address& address);
-  /// Where to reach a peer. The latest address wins.
+  /// Sets the address for connecting to a peer, replacing any earlier one.
   void set_address(PeerId peer, const Address& address) { addresses_[peer] = address; }
 
-  /// Sends now, or as soon as a connection is made. A peer without an address is dropped. So are
-  /// the oldest messages where too many wait for a connection, and a connection whose peer reads
-  /// too little.
+  /// Sends now or, if necessary, connects first and sends when the connection is established. Drops
+  /// the message if the peer has neither a connection nor an address, drops the oldest messages if
+  /// too many are pending, and closes a connection whose queue has reached the limit.
   template <class Table>
   void send(PeerId peer, const Table& message) {
     Link* link = ensure_link(peer);
@@ -51,10 +53,10 @@
     }
   }
   std::size_t queued_bytes(PeerId peer) const;
-  /// To all peers.
+  /// Bytes queued for all peers.
   std::size_t queued_bytes() const;
   bool connected(PeerId peer) const;
-  /// Holds all senders back while the downlink's share is used up.
+  /// Pauses or resumes reading from all peers, to keep within the share of the downlink.
   void set_reading(bool reading);
   std::size_t size() const { return links_.size(); }
 
@@ -66,7 +68,8 @@
     TimePoint connected_at{};
   };
   void queue_until_connected(Link& link, PendingMessage message);
-  /// Ends a connection in which more waits than a peer that reads can leave there.
+  /// Closes the connection and returns false if its queue has reached the limit, which happens only
+  /// if the peer does not read.
   bool check_queue_limit(WireConnection& connection);
   Link* ensure_link(PeerId peer);
   void on_connected(PeerId peer, std::unique_ptr<WireConnection> connection);
@@ -76,7 +79,7 @@
   void use_for_sending(Link& link, std::unique_ptr<WireConnection> connection);
   void on_hello(PeerId peer, WireConnection* incoming);
   void drop_replaced(PeerId peer, std::unique_ptr<WireConnection> replaced);
-  /// What was to be sent goes over another connection of the peer, if there is one.
+  /// Makes another open connection of the peer, if there is one, the one used for sending.
   void promote_second_connection(PeerId peer);
   void on_closed(PeerId peer, const WireConnection* connection, const std::string& reason);
 
@@ -86,7 +89,8 @@
   std::unique_ptr<WireListener> listener_;
   std::map<PeerId, Address> addresses_;
   std::map<PeerId, Link> links_;
-  /// Connections that have not said who they are, and second ones to a known peer.
+  /// Connections not used for sending: from peers that have not sent PeerHello yet, second
+  /// connections of a known peer, and replaced ones whose close has not been reported yet.
   std::map<const WireConnection*, std::unique_ptr<WireConnection>> other_connections_;
   std::map<const WireConnection*, PeerId> other_connection_peers_;
   bool reading_ = true;
--- a/src/transport/permit_messages.cpp
+++ b/src/transport/permit_messages.cpp
@@ -25,7 +25,7 @@
 RateLimit decode(const wire::RateLimitState* state, TimePoint now) {
   if (state == nullptr) return {};
   RateLimit limit;
-  // Not `< 0`: what is no number is no limit either.
+  // Written so that NaN, like a negative value, means that there is no limit.
   if (state->per_second() >= 0) limit.per_second = state->per_second();
   limit.observed_at = now - milliseconds(state->age_ms());
   return limit;
@@ -64,7 +64,7 @@
   message.backend = answer.backend;
   message.asked_at = ticks(answer.asked_at);
   message.granted = answer.granted;
-  // Rounded up: one that asks again too early is denied again.
+  // Rounded up: a request that is repeated too early is denied again.
   const std::int64_t retry_after_ms = answer.granted ? 0 : to_milliseconds(answer.retry_after) + 1;
   message.retry_after_ms = static_cast<std::uint32_t>(retry_after_ms);
   message.limit = encode(answer.limit, now);
--- a/src/transport/permit_messages.h
+++ b/src/transport/permit_messages.h
@@ -1,4 +1,4 @@
-/// Requests for permits and their answers, on the wire.
+/// Converts permit requests and their answers to and from wire messages.
 #pragma once
 
 #include <memory>
@@ -9,7 +9,8 @@
 
 namespace pumicemast {
 
-/// Times of observations travel as ages, since clocks differ. Null where nothing is known.
+/// Encodes the time of observation as an age, since clocks of machines differ. Returns null if no
+/// limit has been observed.
 std::unique_ptr<wire::RateLimitStateT> encode(const RateLimit& limit, TimePoint now);
 RateLimit decode(const wire::RateLimitState* state, TimePoint now);
 
--- a/src/transport/socket_poller.cpp
+++ b/src/transport/socket_poller.cpp
@@ -65,7 +65,7 @@
   for (int index = 0; index < count; ++index) {
     const epoll_event& event = events[static_cast<std::size_t>(index)];
     const Registration registration = event.data.u64;
-    // A handler before this one may have removed the registration.
+    // An earlier handler in this loop may have removed the registration.
     const auto handler = [&]() -> SocketHandler* {
       const auto found = poller->entries_.find(registration);
       return found == poller->entries_.end() ? nullptr : found->second.handler;
--- a/src/transport/socket_poller.h
+++ b/src/transport/socket_poller.h
@@ -1,8 +1,8 @@
-/// Watches all wire sockets of a process through one epoll descriptor.
+/// Polls all TCP sockets of a process through one epoll descriptor.
 ///
-/// GLib polls every source in every turn of its loop, so that a process with n connections
-/// pays n for each message on any of them: before 2,000 agents an entry spent two thirds of
-/// its time there. The loop now polls one descriptor, whatever the number of connections.
+/// GLib polls every source in every iteration of its main loop, so the cost of each message grows
+/// with the number of connections: with 2,000 agents an entry spent two thirds of its time polling.
+/// With this class the loop polls one descriptor, whatever the number of connections.
 #pragma once
 
 #include <glib.h>
@@ -12,14 +12,14 @@
 
 namespace pumicemast {
 
-/// Told when its socket is ready. It may remove any registration meanwhile.
+/// Notified when its socket is ready. Its functions may remove any registration.
 class SocketHandler {
  public:
   virtual ~SocketHandler() = default;
   virtual void on_readable() = 0;
   virtual void on_writable() = 0;
-  /// The connection failed or was closed by both sides. Reported whatever the interest is,
-  /// again and again until the registration is removed.
+  /// The connection failed or was closed by both sides. Reported whatever the interest is, and
+  /// repeatedly until the registration is removed.
   virtual void on_broken() = 0;
 };
 
@@ -33,10 +33,10 @@
   SocketPoller(const SocketPoller&) = delete;
   SocketPoller& operator=(const SocketPoller&) = delete;
 
-  /// Watches `descriptor` until removed; the handler must live as long.
+  /// Polls `descriptor` until removed; the handler must live as long.
   Registration add(int descriptor, SocketHandler& handler, bool readable = false,
                    bool writable = false);
-  /// Which readiness is of interest.
+  /// Selects which of readability and writability are reported.
   void set_interest(Registration registration, bool readable, bool writable);
   void remove(Registration registration);
 
--- a/src/transport/tcp_keepalive.cpp
+++ b/src/transport/tcp_keepalive.cpp
@@ -9,10 +9,11 @@
 namespace pumicemast {
 namespace {
 
-/// The least that the system knows.
+/// The smallest interval that the kernel supports.
 constexpr int kKeepaliveIntervalSeconds = 1;
-/// Where no limit of unacknowledged bytes is set, which the system heeds instead. At a loss of a
-/// tenth of all packets each way, four in a row fail once in 770 times.
+/// Number of unanswered probes that close a connection without a user timeout; with one, the kernel
+/// applies the user timeout instead. If a tenth of all packets is lost in each direction, four
+/// probes in a row fail once in 770 times.
 constexpr int kKeepaliveProbes = 4;
 
 void set_option(int descriptor, int level, int name, int value) {
--- a/src/transport/wire_connection.cpp
+++ b/src/transport/wire_connection.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::size_t kReadBytes = 256U * 1024U;
-/// Reads in one turn of the loop, so that one busy peer cannot starve the others.
+/// Most reads per connection in one loop iteration, so that a busy peer cannot starve the others.
 constexpr int kReadsPerIteration = 4;
 
 }  // namespace
@@ -54,17 +54,18 @@
 }
 
 void WireConnection::on_readable() {
-  // The event may be older than the decision to hold reading back.
+  // The event may have been queued before reading was paused.
   if (reading_) read_available();
 }
 
 void WireConnection::on_broken() {
-  if (reading_) read_available();  // What arrived before counts.
+  if (reading_) read_available();  // Data received before the failure is still processed.
   if (open_) close("connection broken");
 }
 
 void WireConnection::read_available() {
-  static std::array<std::uint8_t, kReadBytes> buffer;  // One loop on one thread.
+  static std::array<std::uint8_t, kReadBytes>
+      buffer;  // Safe to share: all connections run on one thread.
   for (int iteration = 0; iteration < kReadsPerIteration && open_ && reading_; ++iteration) {
     GError* error = nullptr;
     const gssize count = g_socket_receive(socket_, reinterpret_cast<gchar*>(buffer.data()),
@@ -138,7 +139,7 @@
   outgoing_.clear();
   queued_bytes_ = 0;
   g_io_stream_close(G_IO_STREAM(connection_.get()), nullptr, nullptr);
-  // Reported from the loop, so that the owner may destroy the connection in on_closed.
+  // Reported from an idle source, so that the owner may destroy the connection in on_closed.
   if (callbacks_.on_closed) closed_source_ = g_idle_add(&WireConnection::report_closed, this);
 }
 
@@ -194,7 +195,8 @@
 void connect_wire(const Address& address, Duration timeout,
                   std::function<void(std::unique_ptr<WireConnection>)> on_result) {
   GSocketClient* client = g_socket_client_new();
-  g_socket_client_set_enable_proxy(client, FALSE);  // Internal links are direct.
+  g_socket_client_set_enable_proxy(
+      client, FALSE);  // Connections between pumicemast processes use no proxy.
   const auto timeout_s = std::max<std::int64_t>(1, to_milliseconds(timeout) / 1000);
   g_socket_client_set_timeout(client, static_cast<guint>(timeout_s));
   auto* callback = new std::function<void(std::unique_ptr<WireConnection>)>(std::move(on_result));
@@ -209,7 +211,7 @@
           (*on_done)(nullptr);
           return;
         }
-        // The timeout was for connecting; an idle connection must not fail.
+        // The timeout applies to connecting only; an established connection may stay idle.
         g_socket_set_timeout(g_socket_connection_get_socket(connection), 0);
         (*on_done)(
             std::make_unique<WireConnection>(GObjectPointer<GSocketConnection>::adopt(connection)));
--- a/src/transport/wire_connection.h
+++ b/src/transport/wire_connection.h
@@ -24,9 +24,9 @@
  public:
   struct Callbacks {
     std::function<void(const wire::Frame&)> on_frame;
-    /// Called once, also after close(). `reason` is for counters and state-change lines.
+    /// Called once, also after close(). `reason` is for metrics and log lines.
     std::function<void(const std::string& reason)> on_closed;
-    /// The queued bytes fell to zero; may be empty.
+    /// The send queue became empty. The function may be null.
     std::function<void()> on_drained;
   };
 
@@ -43,10 +43,10 @@
     queue(encode_frame(body));
   }
   void close(const std::string& reason);
-  /// Stops or resumes reading, so that the sender is held back by TCP itself.
+  /// Pauses or resumes reading; while paused, TCP flow control holds the sender back.
   void set_reading(bool reading);
-  /// Bytes that the peer does not acknowledge for so long end the connection; zero leaves it
-  /// to the system.
+  /// Closes the connection when the peer has not acknowledged sent bytes for `limit`; zero keeps
+  /// the default of the system.
   void set_user_timeout(Duration limit);
   bool is_open() const { return open_; }
   std::size_t queued_bytes() const { return queued_bytes_; }
@@ -64,7 +64,7 @@
   GObjectPointer<GSocketConnection> connection_;
   GSocket* socket_;
   SocketPoller::Registration registration_ = 0;  ///< 0 before start() and after close().
-  bool writing_ = false;                         ///< Waits until the socket takes more.
+  bool writing_ = false;  ///< Whether unsent bytes wait for the socket to become writable.
   guint closed_source_ = 0;
   Callbacks callbacks_;
   FrameReader reader_;
--- a/tests/transport/frame_codec_test.cpp
+++ b/tests/transport/frame_codec_test.cpp
@@ -16,7 +16,7 @@
 
  public:
   void reassembles_frames_split_anywhere() {
-    const bool held = rc::check("frames survive any cutting", [] {
+    const bool held = rc::check("frames are reassembled however the stream is split", [] {
       const auto chunks = *rc::gen::arbitrary<std::vector<std::uint32_t>>();
       std::vector<std::uint8_t> stream;
       for (const std::uint32_t chunk : chunks) {
@@ -44,7 +44,7 @@
     CPPUNIT_ASSERT(held);
   }
 
-  /// 64-bit fields need an alignment that a prefix of 32 bits shifts.
+  /// 64-bit fields need an alignment that the 32-bit length prefix shifts.
   void reads_wide_scalars() {
     wire::AgentHelloT hello;
     hello.machine = hello.region = hello.zone = hello.swarm_address = hello.backend = "text";
@@ -82,7 +82,7 @@
       RC_ASSERT(fault == FrameFault::malformed || delivered);
     });
     CPPUNIT_ASSERT(held);
-    // One bit changed anywhere in a real frame is refused or read without harm.
+    // A frame with any one bit flipped is either rejected or read without going out of bounds.
     wire::AgentHelloT hello;
     hello.machine = hello.region = hello.zone = hello.swarm_address = hello.backend = "text";
     const auto encoded = encode_frame(hello);
@@ -105,7 +105,7 @@
     flatbuffers::FlatBufferBuilder builder;
     wire::ChunkRequestBuilder request(builder);
     request.add_chunk(1);
-    // Finish() would assert: the table is closed as a hostile writer would close it.
+    // Finish() would assert on the missing field, so the table is ended without that check.
     const auto table = flatbuffers::Offset<void>(builder.EndTable(builder.GetSize()));
     wire::FrameBuilder frame(builder);
     frame.add_body(table);
--- a/tests/transport/peer_links_test.cpp
+++ b/tests/transport/peer_links_test.cpp
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-/// Real sockets; every wait is for a condition.
+/// Uses real sockets; waits for conditions instead of fixed times where possible.
 class PeerLinksTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PeerLinksTest);
   CPPUNIT_TEST(bounds_messages_pending_for_a_connection);
@@ -35,8 +35,8 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // While machines could not reach each other, whatever was to be told to them gathered for each
-  // of up to a hundred peers, and all of it came, long untrue, when a connection was made.
+  // While machines cannot reach each other, messages to each of up to a hundred peers are queued.
+  // Without a bound, all of them, long outdated, would be delivered once a connection is made.
   void bounds_messages_pending_for_a_connection() {
     constexpr std::uint32_t kMessages = 5000;
     constexpr std::size_t kMaximumPendingMessages = 256;
@@ -63,7 +63,7 @@
     CPPUNIT_ASSERT(received.size() <= kMaximumPendingMessages);
   }
 
-  // The same with a peer that takes the connection and stands still.
+  // The send queue is also bounded for a peer that accepts the connection but does not read.
   void drops_the_connection_of_a_peer_that_does_not_read() {
     constexpr std::size_t kChunkBytes = 32U << 10U;
     constexpr std::size_t kMaximumQueuedBytes = 5U << 20U;
@@ -82,8 +82,8 @@
     run_until([&] { return lost_count_ == 1; });
   }
 
-  // Answers were lost for seconds more: who had noticed that its link was silent connected anew
-  // and asked, and was answered over the old connection.
+  // A peer that detects a dead connection reconnects and repeats its request. If the response goes
+  // to the old connection, responses are lost for seconds more.
   void sends_over_the_new_connection_of_a_reconnected_peer() {
     const Address address = free_address();
     listen(address);
@@ -100,7 +100,7 @@
     run_until([&] { return frames_received_ == 2; });
     links_.send(kNamedPeer, numbered(7));
     run_until([&] { return received_chunk == 7; });
-    CPPUNIT_ASSERT_EQUAL(1, lost_count_);  // What was on its way is to be asked for again.
+    CPPUNIT_ASSERT_EQUAL(1, lost_count_);  // Tells the owner to repeat requests in transit.
     CPPUNIT_ASSERT(links_.connected(kNamedPeer));
   }
 
@@ -115,10 +115,10 @@
     CPPUNIT_ASSERT(first->is_open() && second->is_open());
   }
 
-  // A gateway that had been started anew heard of no engine for 25 s, until its end: its first
-  // connection to an agent went silent within seconds and it connected again. The agent read the
-  // second connection and wrote to the first; when that ended it wrote to none, as it knows no
-  // address of gateways. All three agents told nothing, while they took what the gateway asked.
+  // A restarted gateway received no engine report from any of three agents for 25 s, until it
+  // exited. Its first connection to an agent went dead within seconds and it connected again. The
+  // agent read the second connection but wrote to the first; when the first closed, it wrote to
+  // none, since agents do not know addresses of gateways, but still served the gateway's requests.
   void sends_over_the_second_connection_when_the_first_closes() {
     const Address address = free_address();
     listen(address);
@@ -149,7 +149,7 @@
     CPPUNIT_ASSERT(listens);
   }
 
-  /// A connection that says who it is, and asks for something.
+  /// Opens a connection, identifies itself as kPeerName and sends one request.
   static std::unique_ptr<WireConnection> connect(const Address& address) {
     std::unique_ptr<WireConnection> result;
     connect_wire(address, seconds(1), [&](std::unique_ptr<WireConnection> connection) {
--- a/tests/transport/wire_connection_test.cpp
+++ b/tests/transport/wire_connection_test.cpp
@@ -9,7 +9,7 @@
 namespace pumicemast {
 namespace {
 
-/// A port of the loopback address that is free now.
+/// Returns a port of the loopback address that is free now.
 std::uint16_t free_port() {
   const int descriptor = socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in address{};
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-/// Real sockets on the default main context; every wait is for a condition.
+/// Uses real sockets on the default main context; waits for conditions, not for fixed times.
 class WireConnectionTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(WireConnectionTest);
   CPPUNIT_TEST(stays_open_when_another_connection_pauses_reading);
@@ -66,8 +66,9 @@
     listener_.reset();
   }
 
-  /// Both sockets are ready in one turn, and the first frame holds the other one back: the
-  /// event for the other is delivered all the same, and must not be taken for a failure.
+  /// Both sockets become ready in one loop iteration, and the first frame pauses reading on the
+  /// other connection. The event of the other is still delivered and must not be treated as a
+  /// failure.
   void stays_open_when_another_connection_pauses_reading() {
     std::vector<std::uint32_t> received;
     std::uint32_t closed = 0;
@@ -105,7 +106,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("end of stream"), reason);
   }
 
-  // A link over which nothing has to be sent went silent, and stayed the one that was used.
+  // Without probes, a dead connection on which nothing is sent would stay in use.
   void enables_keepalive_on_both_ends() {
     const std::vector<int> descriptors = connected_descriptors();
     CPPUNIT_ASSERT_EQUAL(std::size_t{4}, descriptors.size());
@@ -124,7 +125,7 @@
     return value;
   }
 
-  /// Of both ends of the fixture's connections.
+  /// Descriptors of both ends of the connections made by the fixture.
   std::vector<int> connected_descriptors() const {
     constexpr int kMaximumDescriptors = 1024;
     std::vector<int> result;
@@ -136,7 +137,7 @@
     return result;
   }
 
-  /// 0 where the descriptor has no such end.
+  /// Returns 0 if `descriptor` has no such address.
   static std::uint16_t port_of(int descriptor, decltype(&getsockname) name_of) {
     sockaddr_in address{};
     socklen_t size = sizeof(address);
