--- a/src/gateway/gateway_daemon.cpp
+++ b/src/gateway/gateway_daemon.cpp
@@ -173,7 +173,7 @@
   execute_actions(actions);
 }
 
-void GatewayDaemon::on_caller_gone(CallerConnection& connection) {
+void GatewayDaemon::on_caller_disconnected(CallerConnection& connection) {
   const RequestNumber number = connection.request_number;
   if (find_exchange(number) == nullptr) return;
   ForwarderActions actions;
@@ -269,8 +269,8 @@
     connection.flush();
     if (find_exchange(number) == nullptr || connection.queued_bytes() <= kMaximumUnreadBytes)
       continue;
-    on_caller_gone(connection);
-    connection.abort_answer();
+    on_caller_disconnected(connection);
+    connection.abort_response();
   }
 }
 
@@ -291,15 +291,16 @@
   Exchange* exchange = find_exchange(action.request);
   if (exchange == nullptr) return;
   exchange->response_started = true;
-  exchange->connection->begin_answer(
+  exchange->connection->begin_response(
       exchange->response_status, exchange->response_reason, exchange->response_head,
-      action.length ? AnswerFraming::length : AnswerFraming::chunked, action.length.value_or(0));
+      action.length ? ResponseFraming::length : ResponseFraming::chunked,
+      action.length.value_or(0));
 }
 
 void GatewayDaemon::execute(const RelayBody& action) {
   Exchange* exchange = find_exchange(action.request);
   if (exchange == nullptr) return;
-  exchange->connection->write_answer(action.bytes);
+  exchange->connection->write_body(action.bytes);
   unflushed_requests_.push_back(action.request);
 }
 
@@ -308,7 +309,7 @@
   if (exchange == nullptr) return;
   CallerConnection& connection = *exchange->connection;
   erase_exchange(action.request);
-  connection.end_answer();
+  connection.end_response();
 }
 
 void GatewayDaemon::execute(const SendRefusal& action) {
@@ -317,7 +318,7 @@
   CallerConnection& connection = *exchange->connection;
   const std::string fields = protocol_->refusal_headers(exchange->request_id, action.retry_after);
   erase_exchange(action.request);
-  connection.answer(action.status, fields, to_string(action.reason));
+  connection.respond(action.status, fields, to_string(action.reason));
 }
 
 void GatewayDaemon::execute(const AbortResponse& action) {
@@ -325,7 +326,7 @@
   if (exchange == nullptr) return;
   CallerConnection& connection = *exchange->connection;
   erase_exchange(action.request);
-  connection.abort_answer();
+  connection.abort_response();
 }
 
 // ---- fleet state ----
@@ -418,7 +419,7 @@
   fleet_.gossip_crashes();
 }
 
-StatusAnswer GatewayDaemon::status(const std::string& path) {
+StatusResponse GatewayDaemon::status(const std::string& path) {
   if (path == "/ready") {
     const bool ready = state_ == "SERVING";
     return {ready ? kStatusOk : kStatusUnavailable, "text/plain", state_};
--- a/src/gateway/gateway_daemon.h
+++ b/src/gateway/gateway_daemon.h
@@ -56,7 +56,7 @@
   void on_accepted(int descriptor) override;
   // CallerConnectionObserver
   void on_caller_request(CallerConnection& connection, ReceivedRequest request) override;
-  void on_caller_gone(CallerConnection& connection) override;
+  void on_caller_disconnected(CallerConnection& connection) override;
   void on_caller_connection_closed(CallerConnection& connection) override;
   // AttemptObserver
   void on_attempt_connected(RequestNumber number) override;
@@ -96,7 +96,7 @@
   void refuse_connections(TimePoint now);
   /// Whether any connected caller has not yet sent a complete request.
   bool awaits_any_request() const;
-  StatusAnswer status(const std::string& path);
+  StatusResponse status(const std::string& path);
   /// Lists the requests in quarantine, one per line.
   std::string quarantine_page();
 
--- a/src/gateway/requests/backend_connections.cpp
+++ b/src/gateway/requests/backend_connections.cpp
@@ -35,7 +35,7 @@
   std::size_t max_idle_connections() const { return max_idle_connections_; }
 
  private:
-  void on_response_connected() override { owner_.observer_.on_attempt_connected(number_); }
+  void on_connection_established() override { owner_.observer_.on_attempt_connected(number_); }
   bool on_response_head(const ResponseHead& head) override {
     return owner_.observer_.on_attempt_head(number_, head);
   }
--- a/src/host/host_daemon.cpp
+++ b/src/host/host_daemon.cpp
@@ -58,8 +58,8 @@
                 for (const auto& [model, stager] : stagers_) stager->on_peer_drained(peer);
               }}),
       metrics_server_([this](const std::string& path) {
-        if (path != "/metrics") return StatusAnswer{kStatusNotFound, "text/plain", "not found"};
-        return StatusAnswer{kStatusOk, kMetricsContentType, metrics_.serialize()};
+        if (path != "/metrics") return StatusResponse{kStatusNotFound, "text/plain", "not found"};
+        return StatusResponse{kStatusOk, kMetricsContentType, metrics_.serialize()};
       }) {
   links_.set_user_timeout(kUnansweredLimit);
   links_.set_queue_limit(kQueueLimitBytes);
--- a/src/http/http_client.h
+++ b/src/http/http_client.h
@@ -63,7 +63,7 @@
 struct HttpStreamCallbacks {
   std::function<void(const HttpResponse& head)> on_head;
   std::function<void(const std::string& bytes)> on_data;
-  std::function<void(bool whole)> on_end;
+  std::function<void(bool complete)> on_end;
 };
 
 class HttpClient {
--- a/src/http/http_server.cpp
+++ b/src/http/http_server.cpp
@@ -10,7 +10,7 @@
 
 /// A draining server waits for so long after the last request: time for handshakes to end and for
 /// requests that are on their way.
-constexpr Duration kQuietBeforeDrained = milliseconds(300);
+constexpr Duration kIdleBeforeDrained = milliseconds(300);
 
 }  // namespace
 
@@ -147,7 +147,8 @@
 
 HttpServer::~HttpServer() {
   g_signal_handlers_disconnect_by_data(server_.get(), this);
-  for (GObject* message : open_requests_) g_object_weak_unref(message, &handle_request_gone, this);
+  for (GObject* message : open_requests_)
+    g_object_weak_unref(message, &handle_request_finalized, this);
   soup_server_disconnect(server_.get());
 }
 
@@ -160,13 +161,13 @@
 void HttpServer::handle_request_started(SoupServer*, SoupServerMessage* message, gpointer self) {
   auto* server = static_cast<HttpServer*>(self);
   const bool is_new = server->open_requests_.insert(G_OBJECT(message)).second;
-  if (is_new) g_object_weak_ref(G_OBJECT(message), &handle_request_gone, server);
+  if (is_new) g_object_weak_ref(G_OBJECT(message), &handle_request_finalized, server);
 }
 
-void HttpServer::handle_request_gone(gpointer self, GObject* message) {
+void HttpServer::handle_request_finalized(gpointer self, GObject* message) {
   auto* server = static_cast<HttpServer*>(self);
   server->open_requests_.erase(message);
-  if (*server->draining_) server->await_quiet();
+  if (*server->draining_) server->await_idle();
 }
 
 void HttpServer::drain(std::function<void()> on_drained) {
@@ -174,7 +175,7 @@
   *draining_ = true;
   on_drained_ = std::move(on_drained);
   refuse_connections();
-  await_quiet();
+  await_idle();
 }
 
 void HttpServer::refuse_connections() {
@@ -186,8 +187,8 @@
   g_slist_free(listeners);
 }
 
-void HttpServer::await_quiet() {
-  quiet_timer_.start_once(kQuietBeforeDrained, [this] {
+void HttpServer::await_idle() {
+  idle_timer_.start_once(kIdleBeforeDrained, [this] {
     if (!open_requests_.empty()) return;  // Asked again when the last of them is gone.
     const auto drained = std::exchange(on_drained_, nullptr);
     if (drained) drained();  // May destroy this server.
--- a/src/http/http_server.h
+++ b/src/http/http_server.h
@@ -83,9 +83,9 @@
   static void handle(SoupServer* server, SoupServerMessage* message, const char* path,
                      GHashTable* query, gpointer self);
   static void handle_request_started(SoupServer* server, SoupServerMessage* message, gpointer self);
-  static void handle_request_gone(gpointer self, GObject* message);
+  static void handle_request_finalized(gpointer self, GObject* message);
   void refuse_connections();
-  void await_quiet();
+  void await_idle();
 
   GObjectPointer<SoupServer> server_;
   Handler handler_;
@@ -93,7 +93,7 @@
   /// whose connection was taken from it; but a message that nobody holds any more is over.
   std::set<GObject*> open_requests_;
   std::shared_ptr<bool> draining_ = std::make_shared<bool>(false);
-  Timer quiet_timer_;
+  Timer idle_timer_;
   std::function<void()> on_drained_;
 };
 
--- a/src/http/stream_call.cpp
+++ b/src/http/stream_call.cpp
@@ -40,25 +40,24 @@
 
 }  // namespace
 
-std::shared_ptr<StreamCall> StreamCall::start(const HttpRequest& request, Duration silence_limit,
+std::shared_ptr<StreamCall> StreamCall::start(const HttpRequest& request, Duration idle_timeout,
                                               HttpStreamCallbacks callbacks) {
   const SplitUrl url = split_url(request.url);
   const std::shared_ptr<StreamCall> call(
-      new StreamCall(url.address, silence_limit, std::move(callbacks)));
+      new StreamCall(url.address, idle_timeout, std::move(callbacks)));
   call->self_ = call;
-  call->await_progress();
+  call->restart_idle_timer();
   call->connection_.send_request(encode(request, url), request.method == "HEAD", *call);
   return call;
 }
 
-StreamCall::StreamCall(const Address& address, Duration silence_limit,
-                       HttpStreamCallbacks callbacks)
+StreamCall::StreamCall(const Address& address, Duration idle_timeout, HttpStreamCallbacks callbacks)
     : callbacks_(std::move(callbacks)),
-      silence_limit_(silence_limit),
-      connection_(address, silence_limit, *this) {}
+      idle_timeout_(idle_timeout),
+      connection_(address, idle_timeout, *this) {}
 
-void StreamCall::await_progress() {
-  silence_.start_once(silence_limit_, [this] {
+void StreamCall::restart_idle_timer() {
+  idle_timer_.start_once(idle_timeout_, [this] {
     const bool never_sent = !connection_.connected();
     connection_.abandon();
     fail("timed out", never_sent);
@@ -66,14 +65,14 @@
 }
 
 void StreamCall::cancel() {
-  if (over_) return;
-  over_ = true;
+  if (finished_) return;
+  finished_ = true;
   connection_.abandon();
-  release();
+  release_self();
 }
 
-void StreamCall::release() {
-  silence_.cancel();
+void StreamCall::release_self() {
+  idle_timer_.cancel();
   if (self_) g_idle_add(&StreamCall::drop, new std::shared_ptr<StreamCall>(std::move(self_)));
 }
 
@@ -83,8 +82,8 @@
 }
 
 bool StreamCall::on_response_head(const ResponseHead& head) {
-  await_progress();
-  head_told_ = true;
+  restart_idle_timer();
+  head_reported_ = true;
   HttpResponse response;
   response.status = head.result_int();
   for (const auto& field : head) {
@@ -97,8 +96,8 @@
 }
 
 void StreamCall::on_response_body(std::string_view bytes) {
-  if (over_) return;
-  await_progress();
+  if (finished_) return;
+  restart_idle_timer();
   callbacks_.on_data(std::string(bytes));
 }
 
@@ -110,7 +109,7 @@
 }
 
 void StreamCall::fail(const std::string& reason, bool never_sent) {
-  if (!head_told_ && !over_) {
+  if (!head_reported_ && !finished_) {
     HttpResponse response;
     response.failure = reason;
     response.never_sent = never_sent;
@@ -119,11 +118,11 @@
   end(false);
 }
 
-void StreamCall::end(bool whole) {
-  if (over_) return;
-  over_ = true;
-  release();
-  callbacks_.on_end(whole);
+void StreamCall::end(bool complete) {
+  if (finished_) return;
+  finished_ = true;
+  release_self();
+  callbacks_.on_end(complete);
 }
 
 }  // namespace pumicemast
--- a/src/http/stream_call.h
+++ b/src/http/stream_call.h
@@ -16,14 +16,14 @@
 class StreamCall : public ClientConnection::Owner, public ExchangeObserver {
  public:
   /// Begins the call. It lives until its end or its cancellation, whoever keeps it.
-  static std::shared_ptr<StreamCall> start(const HttpRequest& request, Duration silence_limit,
+  static std::shared_ptr<StreamCall> start(const HttpRequest& request, Duration idle_timeout,
                                            HttpStreamCallbacks callbacks);
 
   /// Ends the connection; no callback runs any more.
   void cancel();
 
  private:
-  StreamCall(const Address& address, Duration silence_limit, HttpStreamCallbacks callbacks);
+  StreamCall(const Address& address, Duration idle_timeout, HttpStreamCallbacks callbacks);
 
   void on_idle_connection_ended(ClientConnection&) override {}
   bool on_response_head(const ResponseHead& head) override;
@@ -31,19 +31,19 @@
   void on_response_complete() override;
   void on_exchange_failed(ExchangeFailure failure) override;
 
-  void await_progress();
+  void restart_idle_timer();
   void fail(const std::string& reason, bool never_sent);
-  void end(bool whole);
+  void end(bool complete);
   /// Gives the call's own hold on itself up after this turn of the loop.
-  void release();
+  void release_self();
   static gboolean drop(gpointer self);
 
   std::shared_ptr<StreamCall> self_;
   HttpStreamCallbacks callbacks_;
-  Duration silence_limit_;
-  Timer silence_;
-  bool head_told_ = false;
-  bool over_ = false;
+  Duration idle_timeout_;
+  Timer idle_timer_;
+  bool head_reported_ = false;
+  bool finished_ = false;
   ClientConnection connection_;
 };
 
--- a/src/http1/caller_connection.cpp
+++ b/src/http1/caller_connection.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 /// A caller that sends ahead while its request is in progress is held back beyond this.
-constexpr std::size_t kMaximumAheadBytes = 64U * 1024U;
+constexpr std::size_t kMaximumPipelinedBytes = 64U * 1024U;
 /// A closing connection that rests is ended after so long: its caller may have the next request on
 /// its way.
-constexpr Duration kClosingIdleLimit = milliseconds(500);
+constexpr Duration kClosingIdleTimeout = milliseconds(500);
 constexpr int kStatusBadRequest = 400;
 constexpr int kStatusTimeout = 408;
 constexpr int kStatusBodyTooLarge = 413;
@@ -39,7 +39,7 @@
   if (state_ == State::handling) {
     // Sent ahead: kept until the present answer is out.
     reader_.append_pending(bytes);
-    if (reader_.pending_bytes() > kMaximumAheadBytes) stream_.set_reading(false);
+    if (reader_.pending_bytes() > kMaximumPipelinedBytes) stream_.set_reading(false);
     return;
   }
   if (!reader_.has_partial()) waiting_since_ = loop_now();
@@ -68,7 +68,7 @@
   }
   ReceivedRequest request = reader_.take_request();
   state_ = State::handling;
-  had_request_ = true;
+  received_request_ = true;
   continue_sent_ = false;
   keep_alive_ = request.keep_alive;
   http_1_0_ = request.head.version() < kHttp11;
@@ -79,77 +79,77 @@
 void CallerConnection::refuse(int status) {
   keep_alive_ = false;
   state_ = State::handling;
-  answer(status, {}, {});
+  respond(status, {}, {});
 }
 
-void CallerConnection::begin_answer(int status, std::string_view reason, std::string_view fields,
-                                    AnswerFraming framing, std::size_t length) {
+void CallerConnection::begin_response(int status, std::string_view reason, std::string_view fields,
+                                      ResponseFraming framing, std::size_t length) {
   framing_ = framing;
-  if (closing_ || (http_1_0_ && framing == AnswerFraming::chunked)) keep_alive_ = false;
-  gathered_.append(status_line(status, reason));
-  gathered_.append(fields);
-  if (framing == AnswerFraming::length) {
-    append_field(gathered_, "Content-Length", std::to_string(length));
+  if (closing_ || (http_1_0_ && framing == ResponseFraming::chunked)) keep_alive_ = false;
+  output_.append(status_line(status, reason));
+  output_.append(fields);
+  if (framing == ResponseFraming::length) {
+    append_field(output_, "Content-Length", std::to_string(length));
   } else if (!http_1_0_) {
-    append_field(gathered_, "Transfer-Encoding", "chunked");
+    append_field(output_, "Transfer-Encoding", "chunked");
   }
-  if (!keep_alive_) append_field(gathered_, "Connection", "close");
-  gathered_.append("\r\n");
+  if (!keep_alive_) append_field(output_, "Connection", "close");
+  output_.append("\r\n");
 }
 
-void CallerConnection::write_answer(std::string_view bytes) {
+void CallerConnection::write_body(std::string_view bytes) {
   if (bytes.empty() || head_request_) return;
-  if (framing_ == AnswerFraming::length || http_1_0_) {
-    gathered_.append(bytes);
+  if (framing_ == ResponseFraming::length || http_1_0_) {
+    output_.append(bytes);
     return;
   }
   char size[2 * sizeof(std::size_t)];
   const auto end = std::to_chars(size, size + sizeof(size), bytes.size(), 16);
-  gathered_.append(size, end.ptr);
-  gathered_.append("\r\n");
-  gathered_.append(bytes);
-  gathered_.append("\r\n");
+  output_.append(size, end.ptr);
+  output_.append("\r\n");
+  output_.append(bytes);
+  output_.append("\r\n");
 }
 
 void CallerConnection::flush() {
-  if (gathered_.empty()) return;
-  const std::string bytes = std::move(gathered_);
-  gathered_.clear();
+  if (output_.empty()) return;
+  const std::string bytes = std::move(output_);
+  output_.clear();
   stream_.send(bytes);
 }
 
-void CallerConnection::end_answer() {
+void CallerConnection::end_response() {
   if (state_ != State::handling) return;
-  if (framing_ == AnswerFraming::chunked && !http_1_0_ && !head_request_) {
-    gathered_.append("0\r\n\r\n");
+  if (framing_ == ResponseFraming::chunked && !http_1_0_ && !head_request_) {
+    output_.append("0\r\n\r\n");
   }
   flush();
   if (state_ != State::handling) return;  // The write failed.
   if (!keep_alive_ || closing_) {
-    shut();
+    close_after_flush();
     return;
   }
   state_ = State::waiting;
   waiting_since_ = loop_now();
   stream_.set_reading(true);
   // Without recursion: a caller may have sent many requests ahead.
-  if (in_handle_) return;
-  in_handle_ = true;
+  if (resuming_) return;
+  resuming_ = true;
   while (state_ == State::waiting && reader_.pending_bytes() > 0) {
     const std::size_t before = reader_.pending_bytes();
     handle(reader_.resume());
     if (reader_.pending_bytes() == before) break;
   }
-  in_handle_ = false;
+  resuming_ = false;
 }
 
-void CallerConnection::answer(int status, std::string_view fields, std::string_view body) {
-  begin_answer(status, reason_phrase(status), fields, AnswerFraming::length, body.size());
-  write_answer(body);
-  end_answer();
+void CallerConnection::respond(int status, std::string_view fields, std::string_view body) {
+  begin_response(status, reason_phrase(status), fields, ResponseFraming::length, body.size());
+  write_body(body);
+  end_response();
 }
 
-void CallerConnection::abort_answer() {
+void CallerConnection::abort_response() {
   if (state_ == State::closed) return;
   flush();
   state_ = State::closed;
@@ -157,7 +157,7 @@
   observer_.on_caller_connection_closed(*this);
 }
 
-void CallerConnection::shut() {
+void CallerConnection::close_after_flush() {
   if (state_ == State::closed) return;
   if (stream_.queued_bytes() > 0) {
     state_ = State::waiting;
@@ -183,21 +183,21 @@
   if (state_ == State::closed) return;
   const bool in_progress = state_ == State::handling;
   state_ = State::closed;
-  if (in_progress) observer_.on_caller_gone(*this);
+  if (in_progress) observer_.on_caller_disconnected(*this);
   observer_.on_caller_connection_closed(*this);
 }
 
-void CallerConnection::expire(TimePoint now, Duration idle_limit, Duration head_limit) {
+void CallerConnection::expire(TimePoint now, Duration idle_timeout, Duration head_timeout) {
   if (state_ != State::waiting) return;
   const Duration waited = now - waiting_since_;
   if (reader_.has_partial()) {
-    if (waited >= head_limit) refuse(kStatusTimeout);
+    if (waited >= head_timeout) refuse(kStatusTimeout);
     return;
   }
   // Who has just connected is about to send, however slowly its machine works.
-  const bool ends =
-      closing_ && had_request_ && waited >= kClosingIdleLimit && stream_.queued_bytes() == 0;
-  if (ends || waited >= idle_limit) close();
+  const bool idle_while_closing =
+      closing_ && received_request_ && waited >= kClosingIdleTimeout && stream_.queued_bytes() == 0;
+  if (idle_while_closing || waited >= idle_timeout) close();
 }
 
 }  // namespace pumicemast
--- a/src/http1/client_connection.cpp
+++ b/src/http1/client_connection.cpp
@@ -9,11 +9,11 @@
                                     ExchangeObserver& observer) {
   observer_ = &observer;
   head_request_ = head_request;
-  head_told_ = false;
-  foreign_answer_ = false;
+  head_reported_ = false;
+  foreign_response_ = false;
   reusable_ = false;
   ++requests_sent_;
-  sent_before_ = stream_.bytes_sent();
+  bytes_sent_before_ = stream_.bytes_sent();
   reader_.begin(head_request);
   stream_.send(bytes);
 }
@@ -40,12 +40,12 @@
 }
 
 void ClientConnection::read(ReadStatus status) {
-  if (reader_.head_complete() && !head_told_) {
-    head_told_ = true;
-    foreign_answer_ = !observer_->on_response_head(reader_.head());
+  if (reader_.head_complete() && !head_reported_) {
+    head_reported_ = true;
+    foreign_response_ = !observer_->on_response_head(reader_.head());
     if (observer_ == nullptr) return;
   }
-  if (head_told_) relay_body();
+  if (head_reported_) relay_body();
   if (observer_ == nullptr) return;
   if (status == ReadStatus::malformed) {
     fail(ExchangeFailure::malformed);
@@ -56,19 +56,19 @@
 
 void ClientConnection::relay_body() {
   const std::string body = reader_.take_body();
-  if (!body.empty() && !foreign_answer_) observer_->on_response_body(body);
+  if (!body.empty() && !foreign_response_) observer_->on_response_body(body);
 }
 
 void ClientConnection::finish() {
-  if (foreign_answer_) {
-    saw_foreign_answer_ = true;
-    head_told_ = false;
-    foreign_answer_ = false;
+  if (foreign_response_) {
+    saw_foreign_response_ = true;
+    head_reported_ = false;
+    foreign_response_ = false;
     reader_.begin(head_request_);
     if (reader_.has_surplus()) read(reader_.consume({}));
     return;
   }
-  reusable_ = reader_.keep_alive() && !reader_.has_surplus() && !saw_foreign_answer_ &&
+  reusable_ = reader_.keep_alive() && !reader_.has_surplus() && !saw_foreign_response_ &&
               stream_.queued_bytes() == 0;
   keep_alive_timeout_s_ = pumicemast::keep_alive_timeout_s(reader_.head());
   ExchangeObserver* observer = observer_;
@@ -83,7 +83,7 @@
 }
 
 void ClientConnection::on_stream_connected() {
-  if (observer_ != nullptr) observer_->on_response_connected();
+  if (observer_ != nullptr) observer_->on_connection_established();
 }
 
 void ClientConnection::on_stream_end(StreamEnd end) {
@@ -92,17 +92,17 @@
     owner_.on_idle_connection_ended(*this);
     return;
   }
-  if (stream_.bytes_sent() == sent_before_) {
+  if (stream_.bytes_sent() == bytes_sent_before_) {
     fail(ExchangeFailure::not_sent);
     return;
   }
-  if (end == StreamEnd::closed_by_peer && !foreign_answer_ &&
+  if (end == StreamEnd::closed_by_peer && !foreign_response_ &&
       reader_.consume_end() == ReadStatus::complete) {
     relay_body();
     if (observer_ != nullptr) finish();
     return;
   }
-  fail(ExchangeFailure::cut_off);
+  fail(ExchangeFailure::connection_lost);
 }
 
 }  // namespace pumicemast
--- a/src/http1/client_connection.h
+++ b/src/http1/client_connection.h
@@ -12,9 +12,9 @@
 
 /// Why an exchange brought no whole answer.
 enum class ExchangeFailure {
-  not_sent,   ///< Not one byte of the request was written: it cannot have run.
-  cut_off,    ///< The connection ended before the answer did.
-  malformed,  ///< What came is no answer of the protocol.
+  not_sent,         ///< Not one byte of the request was written: it cannot have run.
+  connection_lost,  ///< The connection ended before the answer did.
+  malformed,        ///< What came is no answer of the protocol.
 };
 
 /// Told what happens to the request in progress. The connection may be closed, but not
@@ -23,7 +23,7 @@
  public:
   virtual ~ExchangeObserver() = default;
   /// The connection that was begun for this request has come up.
-  virtual void on_response_connected() {}
+  virtual void on_connection_established() {}
   /// @return false when this answer belongs to another request: it is read and dropped, and
   ///         the connection goes on waiting.
   virtual bool on_response_head(const ResponseHead& head) = 0;
@@ -75,13 +75,13 @@
   ResponseReader reader_;
   ExchangeObserver* observer_ = nullptr;  ///< Null while idle.
   std::uint64_t requests_sent_ = 0;
-  std::uint64_t sent_before_ = 0;  ///< Bytes written before the request in progress.
+  std::uint64_t bytes_sent_before_ = 0;  ///< Bytes written before the request in progress.
   int keep_alive_timeout_s_ = -1;
   TimePoint idle_since_{};
   bool head_request_ = false;
-  bool head_told_ = false;
-  bool foreign_answer_ = false;  ///< The answer being read belongs to another request.
-  bool saw_foreign_answer_ = false;
+  bool head_reported_ = false;
+  bool foreign_response_ = false;  ///< The answer being read belongs to another request.
+  bool saw_foreign_response_ = false;
   bool reusable_ = false;
 };
 
--- a/src/http1/http_fetcher.cpp
+++ b/src/http1/http_fetcher.cpp
@@ -45,18 +45,18 @@
   cancel();
   callback_ = std::move(callback);
   keep_connection_ = request.keep_connection;
-  silence_limit_ = request.silence_limit;
+  idle_timeout_ = request.idle_timeout;
   maximum_body_bytes_ = request.maximum_body_bytes;
   result_ = {};
   if (connection_ && !connection_->reusable()) drop_connection();
   if (!connection_) {
     connection_ = std::make_unique<ClientConnection>(address_, kFastUserTimeout, *this);
   }
-  limit(request.timeout);
+  start_timeout(request.timeout);
   connection_->send_request(encode(request, address_), request.method == "HEAD", *this);
 }
 
-void HttpFetcher::limit(Duration duration) {
+void HttpFetcher::start_timeout(Duration duration) {
   timeout_.start_once(duration, [this] {
     drop_connection();
     FetchResult result;
@@ -66,7 +66,7 @@
 }
 
 void HttpFetcher::on_progress() {
-  if (silence_limit_ > Duration::zero()) limit(silence_limit_);
+  if (idle_timeout_ > Duration::zero()) start_timeout(idle_timeout_);
 }
 
 void HttpFetcher::on_idle_connection_ended(ClientConnection&) { drop_connection(); }
--- a/src/http1/http_fetcher.h
+++ b/src/http1/http_fetcher.h
@@ -21,7 +21,7 @@
   /// Once an answer has begun, it may be silent for so long instead, and take as long as it needs:
   /// a long one over a full link, given up by the clock and asked for anew, would never be whole.
   /// Zero: `timeout` holds for the whole answer.
-  Duration silence_limit = Duration::zero();
+  Duration idle_timeout = Duration::zero();
   /// A longer answer is given up.
   std::size_t maximum_body_bytes = 16U << 20U;
   /// Leave the connection open when no request follows at once. Where connections are few, those
@@ -57,7 +57,7 @@
   void on_response_complete() override;
   void on_exchange_failed(ExchangeFailure failure) override;
   void drop_connection();
-  void limit(Duration duration);
+  void start_timeout(Duration duration);
   void on_progress();
   void finish(FetchResult result);
 
@@ -65,7 +65,7 @@
   std::unique_ptr<ClientConnection> connection_;
   Callback callback_;
   bool keep_connection_ = true;
-  Duration silence_limit_ = Duration::zero();
+  Duration idle_timeout_ = Duration::zero();
   std::size_t maximum_body_bytes_ = 0;
   FetchResult result_;
   Timer timeout_;
--- a/src/http1/status_server.cpp
+++ b/src/http1/status_server.cpp
@@ -5,8 +5,8 @@
 namespace pumicemast {
 namespace {
 
-constexpr Duration kIdleLimit = seconds(60);
-constexpr Duration kHeadLimit = seconds(3);
+constexpr Duration kIdleTimeout = seconds(60);
+constexpr Duration kHeadTimeout = seconds(3);
 constexpr int kStatusMethodNotAllowed = 405;
 
 }  // namespace
@@ -24,14 +24,14 @@
 
 void StatusServer::on_caller_request(CallerConnection& connection, ReceivedRequest request) {
   if (request.head.method() != boost::beast::http::verb::get) {
-    connection.answer(kStatusMethodNotAllowed, {}, {});
+    connection.respond(kStatusMethodNotAllowed, {}, {});
     return;
   }
   const std::string_view target = to_view(request.head.target());
-  const StatusAnswer answer = responder_(std::string(target.substr(0, target.find('?'))));
+  const StatusResponse response = responder_(std::string(target.substr(0, target.find('?'))));
   std::string fields;
-  append_field(fields, "Content-Type", answer.content_type);
-  connection.answer(answer.status, fields, answer.body);
+  append_field(fields, "Content-Type", response.content_type);
+  connection.respond(response.status, fields, response.body);
 }
 
 void StatusServer::on_caller_connection_closed(CallerConnection& connection) {
@@ -42,7 +42,7 @@
 void StatusServer::expire(TimePoint now) {
   std::vector<CallerConnection*> open;
   for (const auto& [key, connection] : connections_) open.push_back(connection.get());
-  for (CallerConnection* connection : open) connection->expire(now, kIdleLimit, kHeadLimit);
+  for (CallerConnection* connection : open) connection->expire(now, kIdleTimeout, kHeadTimeout);
 }
 
 }  // namespace pumicemast
--- a/src/http1/status_server.h
+++ b/src/http1/status_server.h
@@ -12,7 +12,7 @@
 
 namespace pumicemast {
 
-struct StatusAnswer {
+struct StatusResponse {
   int status = 200;
   std::string content_type = "text/plain";
   std::string body;
@@ -21,7 +21,7 @@
 class StatusServer : public TcpListener::Acceptor, public CallerConnectionObserver {
  public:
   /// Answers a GET of the path that the request names (without its query).
-  using Responder = std::function<StatusAnswer(const std::string& path)>;
+  using Responder = std::function<StatusResponse(const std::string& path)>;
 
   explicit StatusServer(Responder responder) : responder_(std::move(responder)) {}
   /// @return false when the address cannot be bound.
@@ -32,7 +32,7 @@
  private:
   void on_accepted(int descriptor) override;
   void on_caller_request(CallerConnection& connection, ReceivedRequest request) override;
-  void on_caller_gone(CallerConnection&) override {}
+  void on_caller_disconnected(CallerConnection&) override {}
   void on_caller_connection_closed(CallerConnection& connection) override;
 
   Responder responder_;
--- a/src/http1/tcp_listener.cpp
+++ b/src/http1/tcp_listener.cpp
@@ -8,7 +8,7 @@
 namespace pumicemast {
 namespace {
 
-constexpr int kAcceptsPerTurn = 32;
+constexpr int kAcceptsPerIteration = 32;
 constexpr int kListenBacklog = 512;
 
 }  // namespace
@@ -38,7 +38,7 @@
 }
 
 void TcpListener::on_readable() {
-  for (int turn = 0; turn < kAcceptsPerTurn; ++turn) {
+  for (int iteration = 0; iteration < kAcceptsPerIteration; ++iteration) {
     const int accepted = accept4(descriptor_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (accepted < 0) return;
     acceptor_.on_accepted(accepted);
--- a/src/http1/tcp_stream.cpp
+++ b/src/http1/tcp_stream.cpp
@@ -150,11 +150,11 @@
 void TcpStream::on_writable() {
   if (!connected_) finish_connecting();
   if (descriptor_ < 0 || !connected_) return;
-  std::string_view rest(outgoing_);
-  rest.remove_prefix(outgoing_offset_);
-  if (!write_available(rest)) return;
-  outgoing_offset_ = outgoing_.size() - rest.size();
-  if (rest.empty()) {
+  std::string_view remaining(outgoing_);
+  remaining.remove_prefix(outgoing_offset_);
+  if (!write_available(remaining)) return;
+  outgoing_offset_ = outgoing_.size() - remaining.size();
+  if (remaining.empty()) {
     outgoing_.clear();
     outgoing_offset_ = 0;
     writing_ = false;
--- a/tests/http/http_client_test.cpp
+++ b/tests/http/http_client_test.cpp
@@ -9,42 +9,42 @@
 /// A streamed call against a peer that is played byte by byte.
 class HttpClientTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HttpClientTest);
-  CPPUNIT_TEST(a_whole_chunked_answer_is_whole);
-  CPPUNIT_TEST(an_answer_that_ends_between_two_chunks_is_cut_off);
-  CPPUNIT_TEST(an_answer_that_ends_within_a_chunk_is_cut_off);
-  CPPUNIT_TEST(an_answer_shorter_than_its_length_is_cut_off);
-  CPPUNIT_TEST(a_peer_that_is_not_there_was_never_sent_anything);
-  CPPUNIT_TEST(a_cancelled_call_says_nothing_more);
+  CPPUNIT_TEST(completes_a_chunked_response);
+  CPPUNIT_TEST(fails_when_the_connection_closes_between_chunks);
+  CPPUNIT_TEST(fails_when_the_connection_closes_within_a_chunk);
+  CPPUNIT_TEST(fails_a_response_shorter_than_its_length);
+  CPPUNIT_TEST(reports_never_sent_when_nothing_listens);
+  CPPUNIT_TEST(runs_no_callback_after_cancellation);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr char kChunkedHead[] =
       "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 
  public:
-  void a_whole_chunked_answer_is_whole() {
-    CPPUNIT_ASSERT(whole(std::string(kChunkedHead) + "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"));
+  void completes_a_chunked_response() {
+    CPPUNIT_ASSERT(complete(std::string(kChunkedHead) + "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"));
     CPPUNIT_ASSERT_EQUAL(200U, status_);
     CPPUNIT_ASSERT_EQUAL(std::string("abcde"), body_);
   }
 
-  void an_answer_that_ends_between_two_chunks_is_cut_off() {
-    CPPUNIT_ASSERT(!whole(std::string(kChunkedHead) + "3\r\nabc\r\n"));
+  void fails_when_the_connection_closes_between_chunks() {
+    CPPUNIT_ASSERT(!complete(std::string(kChunkedHead) + "3\r\nabc\r\n"));
     CPPUNIT_ASSERT_EQUAL(std::string("abc"), body_);
   }
 
-  void an_answer_that_ends_within_a_chunk_is_cut_off() {
-    CPPUNIT_ASSERT(!whole(std::string(kChunkedHead) + "9\r\nabc"));
+  void fails_when_the_connection_closes_within_a_chunk() {
+    CPPUNIT_ASSERT(!complete(std::string(kChunkedHead) + "9\r\nabc"));
   }
 
-  void an_answer_shorter_than_its_length_is_cut_off() {
-    CPPUNIT_ASSERT(!whole("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc"));
+  void fails_a_response_shorter_than_its_length() {
+    CPPUNIT_ASSERT(!complete("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc"));
   }
 
-  void a_peer_that_is_not_there_was_never_sent_anything() {
+  void reports_never_sent_when_nothing_listens() {
     Address closed;
     {
-      const tests::ScriptedServer gone;
-      closed = gone.address();
+      const tests::ScriptedServer closed_server;
+      closed = closed_server.address();
     }
     begin(closed);
     tests::run_until([&] { return ended_.has_value(); });
@@ -53,7 +53,7 @@
     CPPUNIT_ASSERT_EQUAL(0U, status_);
   }
 
-  void a_cancelled_call_says_nothing_more() {
+  void runs_no_callback_after_cancellation() {
     begin(server_.address());
     tests::run_until([&] { return server_.try_accept(); });
     server_.say(std::string(kChunkedHead) + "3\r\nabc\r\n");
@@ -61,7 +61,7 @@
     call_.reset();
     // The peer finds its connection broken, and stops.
     tests::run_until([&] { return !server_.try_say("3\r\ndef\r\n"); });
-    for (int turn = 0; turn < 50; ++turn) g_main_context_iteration(nullptr, FALSE);
+    for (int iteration = 0; iteration < 50; ++iteration) g_main_context_iteration(nullptr, FALSE);
     CPPUNIT_ASSERT_EQUAL(std::string("abc"), body_);
     CPPUNIT_ASSERT(!ended_.has_value());
   }
@@ -78,14 +78,14 @@
                                        never_sent_ = head.never_sent;
                                      },
                                      [this](const std::string& bytes) { body_ += bytes; },
-                                     [this](bool whole) { ended_ = whole; }});
+                                     [this](bool complete) { ended_ = complete; }});
   }
   /// Whether an answer of these bytes, after which the peer ends in order, counts as whole.
-  bool whole(const std::string& answer) {
+  bool complete(const std::string& response) {
     begin(server_.address());
     tests::run_until([&] { return server_.try_accept(); });
     tests::run_until([&] { return server_.try_read_request("{}"); });
-    server_.say(answer);
+    server_.say(response);
     server_.end();
     tests::run_until([&] { return ended_.has_value(); });
     return *ended_;
--- a/tests/http/http_server_test.cpp
+++ b/tests/http/http_server_test.cpp
@@ -25,8 +25,8 @@
   RawCaller& operator=(const RawCaller&) = delete;
   ~RawCaller() { ::close(descriptor_); }
 
-  void send_request() { say("GET /x HTTP/1.1\r\nHost: here\r\n\r\n"); }
-  void say(const std::string& bytes) {
+  void send_request() { send_bytes("GET /x HTTP/1.1\r\nHost: here\r\n\r\n"); }
+  void send_bytes(const std::string& bytes) {
     CPPUNIT_ASSERT_EQUAL(static_cast<ssize_t>(bytes.size()),
                          send(descriptor_, bytes.data(), bytes.size(), MSG_NOSIGNAL));
   }
@@ -41,11 +41,13 @@
       if (count > 0) received_.append(buffer, static_cast<std::size_t>(count));
     }
   }
-  bool whole() {
+  bool has_complete_response() {
     read_available();
     return received_.starts_with("HTTP/1.1 200") && received_.ends_with("\r\n\r\nanswer");
   }
-  bool told_to_close() const { return received_.find("Connection: close") != std::string::npos; }
+  bool received_connection_close() const {
+    return received_.find("Connection: close") != std::string::npos;
+  }
   const std::string& received() const { return received_; }
   bool ended() const { return ended_; }
   bool reset() const { return reset_; }
@@ -62,26 +64,26 @@
 /// Serving and, most of all, ending it: what was connected is answered, the rest is refused.
 class HttpServerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HttpServerTest);
-  CPPUNIT_TEST(an_answer_given_right_before_the_drain_arrives);
-  CPPUNIT_TEST(an_answer_given_long_after_the_drain_arrives);
-  CPPUNIT_TEST(a_caller_in_the_queue_of_connections_is_answered);
-  CPPUNIT_TEST(a_request_that_comes_in_parts_is_answered);
-  CPPUNIT_TEST(a_connection_serves_one_request_after_the_other);
-  CPPUNIT_TEST(an_idle_connection_does_not_hold_the_drain);
-  CPPUNIT_TEST(an_answer_that_was_cut_off_does_not_hold_the_drain);
-  CPPUNIT_TEST(a_caller_that_left_does_not_hold_the_drain);
-  CPPUNIT_TEST(an_idle_connection_may_still_ask_and_is_closed_then);
-  CPPUNIT_TEST(what_comes_after_the_drain_is_answered_while_the_server_lives);
-  CPPUNIT_TEST(who_connects_during_the_drain_is_refused_and_was_not_read);
-  CPPUNIT_TEST(an_address_in_use_is_told);
+  CPPUNIT_TEST(delivers_a_response_sent_right_before_draining);
+  CPPUNIT_TEST(delivers_a_response_sent_long_after_draining_began);
+  CPPUNIT_TEST(serves_a_connection_in_the_accept_queue);
+  CPPUNIT_TEST(serves_a_request_that_arrives_in_parts);
+  CPPUNIT_TEST(serves_sequential_requests_on_one_connection);
+  CPPUNIT_TEST(draining_ignores_idle_connections);
+  CPPUNIT_TEST(draining_ignores_aborted_responses);
+  CPPUNIT_TEST(draining_ignores_disconnected_callers);
+  CPPUNIT_TEST(serves_one_more_request_on_an_idle_connection_and_closes_it);
+  CPPUNIT_TEST(serves_requests_after_draining_until_destroyed);
+  CPPUNIT_TEST(refuses_connections_while_draining);
+  CPPUNIT_TEST(reports_an_address_in_use);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void setUp() override {
     drained_ = false;
     requests_ = 0;
-    answer_at_once_ = true;
-    waiting_.clear();
+    respond_immediately_ = true;
+    pending_exchanges_.clear();
     {
       const tests::ScriptedServer free_port;
       address_ = free_port.address();
@@ -91,107 +93,107 @@
   }
 
   void tearDown() override {
-    waiting_.clear();
+    pending_exchanges_.clear();
     server_.reset();
   }
 
-  void an_answer_given_right_before_the_drain_arrives() {
-    answer_at_once_ = false;
+  void delivers_a_response_sent_right_before_draining() {
+    respond_immediately_ = false;
     RawCaller caller(address_);
     caller.send_request();
-    tests::run_until([&] { return waiting_.size() == 1; });
-    answer();
+    tests::run_until([&] { return pending_exchanges_.size() == 1; });
+    respond_to_last();
     drain();
     tests::run_until([&] { return drained_; });
-    CPPUNIT_ASSERT(caller.whole());
+    CPPUNIT_ASSERT(caller.has_complete_response());
   }
 
-  void an_answer_given_long_after_the_drain_arrives() {
-    answer_at_once_ = false;
+  void delivers_a_response_sent_long_after_draining_began() {
+    respond_immediately_ = false;
     RawCaller caller(address_);
     caller.send_request();
-    tests::run_until([&] { return waiting_.size() == 1; });
+    tests::run_until([&] { return pending_exchanges_.size() == 1; });
     drain();
     run_for(seconds(1));
     CPPUNIT_ASSERT(!drained_);
-    answer();
+    respond_to_last();
     tests::run_until([&] { return drained_; });
-    CPPUNIT_ASSERT(caller.whole());
+    CPPUNIT_ASSERT(caller.has_complete_response());
   }
 
-  void a_caller_in_the_queue_of_connections_is_answered() {
+  void serves_a_connection_in_the_accept_queue() {
     RawCaller first(address_);
     RawCaller second(address_);
     first.send_request();
     drain();
     second.send_request();
     tests::run_until([&] { return drained_; });
-    CPPUNIT_ASSERT(first.whole());
-    CPPUNIT_ASSERT(second.whole());
+    CPPUNIT_ASSERT(first.has_complete_response());
+    CPPUNIT_ASSERT(second.has_complete_response());
   }
 
-  void a_request_that_comes_in_parts_is_answered() {
+  void serves_a_request_that_arrives_in_parts() {
     RawCaller caller(address_);
-    caller.say("GET /x HTTP/1.1\r\nHo");
+    caller.send_bytes("GET /x HTTP/1.1\r\nHo");
     drain();
     run_for(milliseconds(200));
-    caller.say("st: here\r\n\r\n");
+    caller.send_bytes("st: here\r\n\r\n");
     tests::run_until([&] { return drained_; });
-    CPPUNIT_ASSERT(caller.whole());
+    CPPUNIT_ASSERT(caller.has_complete_response());
   }
 
-  void a_connection_serves_one_request_after_the_other() {
+  void serves_sequential_requests_on_one_connection() {
     RawCaller caller(address_);
     caller.send_request();
-    tests::run_until([&] { return caller.whole(); });
+    tests::run_until([&] { return caller.has_complete_response(); });
     caller.send_request();
     tests::run_until([&] { return requests_ == 2; });
     CPPUNIT_ASSERT(!caller.ended());
   }
 
-  void an_idle_connection_does_not_hold_the_drain() {
+  void draining_ignores_idle_connections() {
     RawCaller caller(address_);
     caller.send_request();
-    tests::run_until([&] { return caller.whole(); });
-    CPPUNIT_ASSERT(!caller.told_to_close());
+    tests::run_until([&] { return caller.has_complete_response(); });
+    CPPUNIT_ASSERT(!caller.received_connection_close());
     drain();
     tests::run_until([&] { return drained_; });
     caller.read_available();
     CPPUNIT_ASSERT(!caller.reset());
   }
 
-  void an_answer_that_was_cut_off_does_not_hold_the_drain() {
-    answer_at_once_ = false;
+  void draining_ignores_aborted_responses() {
+    respond_immediately_ = false;
     RawCaller caller(address_);
     caller.send_request();
-    tests::run_until([&] { return waiting_.size() == 1; });
-    waiting_.back()->abort();
-    waiting_.clear();
+    tests::run_until([&] { return pending_exchanges_.size() == 1; });
+    pending_exchanges_.back()->abort();
+    pending_exchanges_.clear();
     drain();
     tests::run_until([&] { return drained_; });
     caller.read_available();
     CPPUNIT_ASSERT(caller.ended());
   }
 
-  void a_caller_that_left_does_not_hold_the_drain() {
-    answer_at_once_ = false;
+  void draining_ignores_disconnected_callers() {
+    respond_immediately_ = false;
     {
       RawCaller early(address_);
-      early.say("GET /x HTT");
+      early.send_bytes("GET /x HTT");
       RawCaller late(address_);
       late.send_request();
-      tests::run_until([&] { return waiting_.size() == 1; });
+      tests::run_until([&] { return pending_exchanges_.size() == 1; });
     }
     drain();
     run_for(milliseconds(100));
-    answer();
+    respond_to_last();
     tests::run_until([&] { return drained_; });
   }
 
-  void an_idle_connection_may_still_ask_and_is_closed_then() {
+  void serves_one_more_request_on_an_idle_connection_and_closes_it() {
     RawCaller caller(address_);
     caller.send_request();
-    tests::run_until([&] { return caller.whole(); });
+    tests::run_until([&] { return caller.has_complete_response(); });
     drain();
     caller.send_request();
     tests::run_until([&] {
@@ -199,14 +201,14 @@
       return caller.ended();
     });
     CPPUNIT_ASSERT_EQUAL_MESSAGE(caller.received(), 2, requests_);
-    CPPUNIT_ASSERT(caller.whole());
-    CPPUNIT_ASSERT_MESSAGE(caller.received(), caller.told_to_close());
+    CPPUNIT_ASSERT(caller.has_complete_response());
+    CPPUNIT_ASSERT_MESSAGE(caller.received(), caller.received_connection_close());
   }
 
-  void what_comes_after_the_drain_is_answered_while_the_server_lives() {
+  void serves_requests_after_draining_until_destroyed() {
     RawCaller caller(address_);
     caller.send_request();
-    tests::run_until([&] { return caller.whole(); });
+    tests::run_until([&] { return caller.has_complete_response(); });
     drain();
     tests::run_until([&] { return drained_; });
     drained_ = false;
@@ -215,12 +217,12 @@
       caller.read_available();
       return caller.ended();
     });
-    CPPUNIT_ASSERT(caller.told_to_close());
+    CPPUNIT_ASSERT(caller.received_connection_close());
     run_for(seconds(1));
     CPPUNIT_ASSERT(!drained_);  // Told once.
   }
 
-  void who_connects_during_the_drain_is_refused_and_was_not_read() {
+  void refuses_connections_while_draining() {
     drain();
     const int late = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
     const sockaddr_in peer = to_socket_address(address_);
@@ -238,7 +240,7 @@
     ::close(late);
   }
 
-  void an_address_in_use_is_told() { CPPUNIT_ASSERT(!listen(address_)); }
+  void reports_an_address_in_use() { CPPUNIT_ASSERT(!listen(address_)); }
 
  private:
   /// Null when the address cannot be bound.
@@ -247,8 +249,8 @@
         [&]() -> leaf::result<std::unique_ptr<HttpServer>> {
           return HttpServer::listen(address, [this](const HttpExchangePointer& exchange) {
             ++requests_;
-            waiting_.push_back(exchange);
-            if (answer_at_once_) answer();
+            pending_exchanges_.push_back(exchange);
+            if (respond_immediately_) respond_to_last();
           });
         },
         [](const Error& error) {
@@ -258,9 +260,9 @@
         [] { return std::unique_ptr<HttpServer>(); });
   }
 
-  void answer() {
-    waiting_.back()->respond(200, "text/plain", "answer");
-    waiting_.pop_back();
+  void respond_to_last() {
+    pending_exchanges_.back()->respond(200, "text/plain", "answer");
+    pending_exchanges_.pop_back();
   }
 
   void drain() {
@@ -274,8 +276,8 @@
 
   Address address_;
   std::unique_ptr<HttpServer> server_;
-  std::vector<HttpExchangePointer> waiting_;
-  bool answer_at_once_ = true;
+  std::vector<HttpExchangePointer> pending_exchanges_;
+  bool respond_immediately_ = true;
   bool drained_ = false;
   int requests_ = 0;
 };
--- a/tests/http1/connections_test.cpp
+++ b/tests/http1/connections_test.cpp
@@ -21,7 +21,7 @@
   void on_response_complete() override { complete = true; }
   void on_exchange_failed(ExchangeFailure failed) override { failure = failed; }
   void on_idle_connection_ended(ClientConnection&) override { idle_ended = true; }
-  bool over() const { return complete || failure.has_value(); }
+  bool finished() const { return complete || failure.has_value(); }
 
   int status = 0;
   std::string body;
@@ -35,69 +35,69 @@
 /// Real sockets; every wait is for a condition.
 class ConnectionsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ConnectionsTest);
-  CPPUNIT_TEST(an_answer_without_length_that_is_reset_is_cut_off);
-  CPPUNIT_TEST(an_answer_without_length_that_ends_is_whole);
-  CPPUNIT_TEST(a_refused_connection_sent_nothing);
-  CPPUNIT_TEST(a_connection_closed_before_an_answer_may_have_run_it);
-  CPPUNIT_TEST(a_late_answer_to_an_older_request_is_dropped);
-  CPPUNIT_TEST(bytes_on_an_idle_connection_end_it);
-  CPPUNIT_TEST(an_answer_with_bytes_after_it_is_whole_but_ends_the_connection);
-  CPPUNIT_TEST(a_resting_connection_that_goes_silent_ends);
-  CPPUNIT_TEST(a_call_that_waits_on_a_silent_connection_ends_before_its_time);
-  CPPUNIT_TEST(an_accepted_connection_is_probed);
+  CPPUNIT_TEST(reports_connection_lost_when_a_response_without_length_is_reset);
+  CPPUNIT_TEST(completes_a_response_without_length_at_an_orderly_close);
+  CPPUNIT_TEST(reports_not_sent_when_the_connection_is_refused);
+  CPPUNIT_TEST(reports_connection_lost_when_closed_before_a_response);
+  CPPUNIT_TEST(drops_a_late_response_to_an_earlier_request);
+  CPPUNIT_TEST(closes_an_idle_connection_that_receives_bytes);
+  CPPUNIT_TEST(does_not_reuse_a_connection_with_bytes_after_the_response);
+  CPPUNIT_TEST(closes_an_idle_connection_that_goes_silent);
+  CPPUNIT_TEST(fails_a_pending_call_on_a_silent_connection_before_its_timeout);
+  CPPUNIT_TEST(enables_keepalive_on_accepted_connections);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void an_answer_without_length_that_is_reset_is_cut_off() {
+  void reports_connection_lost_when_a_response_without_length_is_reset() {
     begin("HTTP/1.1 200 OK\r\n\r\nhalf");
     run_until([&] { return recorder_.body == "half"; });
     server_.end_with_reset();
-    run_until([&] { return recorder_.over(); });
-    CPPUNIT_ASSERT(recorder_.failure == ExchangeFailure::cut_off);
+    run_until([&] { return recorder_.finished(); });
+    CPPUNIT_ASSERT(recorder_.failure == ExchangeFailure::connection_lost);
   }
 
-  void an_answer_without_length_that_ends_is_whole() {
+  void completes_a_response_without_length_at_an_orderly_close() {
     begin("HTTP/1.1 200 OK\r\n\r\nall");
     server_.end();
-    run_until([&] { return recorder_.over(); });
+    run_until([&] { return recorder_.finished(); });
     CPPUNIT_ASSERT(recorder_.complete);
     CPPUNIT_ASSERT(!connection_->reusable());
   }
 
-  void a_refused_connection_sent_nothing() {
+  void reports_not_sent_when_the_connection_is_refused() {
     Address closed;
     {
-      const ScriptedServer gone;
-      closed = gone.address();
+      const ScriptedServer closed_server;
+      closed = closed_server.address();
     }
     connection_ = std::make_unique<ClientConnection>(closed, seconds(1), recorder_);
     connection_->send_request("GET / HTTP/1.1\r\n\r\n", false, recorder_);
-    run_until([&] { return recorder_.over(); });
+    run_until([&] { return recorder_.finished(); });
     CPPUNIT_ASSERT(recorder_.failure == ExchangeFailure::not_sent);
   }
 
-  void a_connection_closed_before_an_answer_may_have_run_it() {
+  void reports_connection_lost_when_closed_before_a_response() {
     begin("");
     run_until([&] { return connection_->connected(); });
     server_.end();
-    run_until([&] { return recorder_.over(); });
-    CPPUNIT_ASSERT(recorder_.failure == ExchangeFailure::cut_off);
+    run_until([&] { return recorder_.finished(); });
+    CPPUNIT_ASSERT(recorder_.failure == ExchangeFailure::connection_lost);
   }
 
-  void a_late_answer_to_an_older_request_is_dropped() {
+  void drops_a_late_response_to_an_earlier_request() {
     begin(
         "HTTP/1.1 200 OK\r\nId: other\r\nContent-Length: 5\r\n\r\nwrong"
         "HTTP/1.1 201 Created\r\nContent-Length: 5\r\n\r\nright");
-    run_until([&] { return recorder_.over(); });
+    run_until([&] { return recorder_.finished(); });
     CPPUNIT_ASSERT(recorder_.complete);
     CPPUNIT_ASSERT_EQUAL(201, recorder_.status);
     CPPUNIT_ASSERT_EQUAL(std::string("right"), recorder_.body);
     CPPUNIT_ASSERT(!connection_->reusable());
   }
 
-  void bytes_on_an_idle_connection_end_it() {
+  void closes_an_idle_connection_that_receives_bytes() {
     begin("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-    run_until([&] { return recorder_.over(); });
+    run_until([&] { return recorder_.finished(); });
     CPPUNIT_ASSERT(connection_->reusable());
     server_.say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno");
     run_until([&] { return recorder_.idle_ended; });
@@ -105,9 +105,9 @@
     CPPUNIT_ASSERT_EQUAL(std::string("ok"), recorder_.body);
   }
 
-  void an_answer_with_bytes_after_it_is_whole_but_ends_the_connection() {
+  void does_not_reuse_a_connection_with_bytes_after_the_response() {
     begin("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n");
-    run_until([&] { return recorder_.over(); });
+    run_until([&] { return recorder_.finished(); });
     CPPUNIT_ASSERT(recorder_.complete);
     CPPUNIT_ASSERT_EQUAL(std::string("ok"), recorder_.body);
     CPPUNIT_ASSERT(!connection_->reusable());
@@ -115,9 +115,9 @@
 
   // Requests that can't be repeated were lost on kept connections that had gone silent without a
   // reset: nothing was sent on them while they rested, so that nothing stayed unacknowledged.
-  void a_resting_connection_that_goes_silent_ends() {
+  void closes_an_idle_connection_that_goes_silent() {
     begin("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-    run_until([&] { return recorder_.over(); });
+    run_until([&] { return recorder_.finished(); });
     CPPUNIT_ASSERT(connection_->reusable());
     server_.go_silent();
     run_until([&] { return recorder_.idle_ended; });
@@ -126,13 +126,13 @@
 
   // News came late: the call that waited for it had been acknowledged before its connection went
   // silent, and only the end of the call's time showed it.
-  void a_call_that_waits_on_a_silent_connection_ends_before_its_time() {
+  void fails_a_pending_call_on_a_silent_connection_before_its_timeout() {
     HttpFetcher fetcher(server_.address());
     std::optional<FetchResult> result;
     FetchRequest request;
     request.target = "/objects";
     request.timeout = seconds(9);
-    fetcher.fetch(request, [&](const FetchResult& told) { result = told; });
+    fetcher.fetch(request, [&](const FetchResult& fetched) { result = fetched; });
     run_until([&] { return server_.try_accept(); });
     run_until([&] { return server_.try_read_request("\r\n\r\n"); });
     server_.go_silent();
@@ -141,32 +141,32 @@
   }
 
   // A caller that vanished without a word held its request's place until the route's time ended.
-  void an_accepted_connection_is_probed() {
+  void enables_keepalive_on_accepted_connections() {
     const int accepted = socket(AF_INET, SOCK_STREAM, 0);
     TcpStream stream(accepted, observer_);
-    int probed = 0;
-    socklen_t size = sizeof(probed);
-    CPPUNIT_ASSERT_EQUAL(0, getsockopt(accepted, SOL_SOCKET, SO_KEEPALIVE, &probed, &size));
-    CPPUNIT_ASSERT_EQUAL(1, probed);
+    int keepalive = 0;
+    socklen_t size = sizeof(keepalive);
+    CPPUNIT_ASSERT_EQUAL(0, getsockopt(accepted, SOL_SOCKET, SO_KEEPALIVE, &keepalive, &size));
+    CPPUNIT_ASSERT_EQUAL(1, keepalive);
   }
 
  private:
-  class Silent : public StreamObserver {
+  class IgnoringObserver : public StreamObserver {
     void on_stream_data(std::string_view) override {}
     void on_stream_end(StreamEnd) override {}
   };
 
-  void begin(const std::string& answer) {
+  void begin(const std::string& response) {
     connection_ = std::make_unique<ClientConnection>(server_.address(), seconds(1), recorder_);
     connection_->send_request("GET / HTTP/1.1\r\nHost: h\r\n\r\n", false, recorder_);
     server_.accept_one();
     run_until([&] { return connection_->connected(); });  // The request is out as well.
     server_.read_request();
-    if (!answer.empty()) server_.say(answer);
+    if (!response.empty()) server_.say(response);
   }
 
   ScriptedServer server_;
-  Silent observer_;
+  IgnoringObserver observer_;
   Recorder recorder_;
   std::unique_ptr<ClientConnection> connection_;
 };
--- a/tests/http1/http_readers_test.cpp
+++ b/tests/http1/http_readers_test.cpp
@@ -8,22 +8,22 @@
 /// What the data path must tell apart in the bytes of a connection.
 class HttpReadersTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HttpReadersTest);
-  CPPUNIT_TEST(a_response_in_any_pieces);
-  CPPUNIT_TEST(chunked_bodies_come_as_they_arrive);
-  CPPUNIT_TEST(an_answer_without_length_is_whole_only_at_an_orderly_end);
-  CPPUNIT_TEST(an_answer_cut_short_is_never_whole);
-  CPPUNIT_TEST(bytes_beyond_an_answer_show);
-  CPPUNIT_TEST(bytes_that_are_no_answer_are_malformed);
-  CPPUNIT_TEST(interim_answers_are_passed_over);
-  CPPUNIT_TEST(requests_one_after_the_other);
-  CPPUNIT_TEST(limits_and_malformed_requests);
-  CPPUNIT_TEST(a_head_too_large_is_refused_however_it_arrives);
-  CPPUNIT_TEST(a_request_with_two_lengths_is_refused);
-  CPPUNIT_TEST(hop_by_hop_fields_stay_behind);
+  CPPUNIT_TEST(reads_a_response_split_anywhere);
+  CPPUNIT_TEST(returns_chunked_body_bytes_as_they_arrive);
+  CPPUNIT_TEST(completes_a_response_without_length_only_at_end_of_stream);
+  CPPUNIT_TEST(never_completes_a_truncated_response);
+  CPPUNIT_TEST(detects_bytes_after_a_response);
+  CPPUNIT_TEST(reports_invalid_bytes_as_malformed);
+  CPPUNIT_TEST(skips_interim_responses);
+  CPPUNIT_TEST(reads_pipelined_requests);
+  CPPUNIT_TEST(enforces_limits_and_rejects_malformed_requests);
+  CPPUNIT_TEST(rejects_a_too_large_head_split_anywhere);
+  CPPUNIT_TEST(rejects_a_request_with_two_lengths);
+  CPPUNIT_TEST(removes_hop_by_hop_fields);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void a_response_in_any_pieces() {
+  void reads_a_response_split_anywhere() {
     const std::string text = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nX-A: b\r\n\r\nhello";
     for (std::size_t piece = 1; piece <= text.size(); ++piece) {
       ResponseReader reader;
@@ -42,7 +42,7 @@
     }
   }
 
-  void chunked_bodies_come_as_they_arrive() {
+  void returns_chunked_body_bytes_as_they_arrive() {
     ResponseReader reader;
     reader.begin(false);
     reader.consume("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
@@ -52,7 +52,7 @@
     CPPUNIT_ASSERT(reader.consume("0\r\n\r\n") == ReadStatus::complete);
   }
 
-  void an_answer_without_length_is_whole_only_at_an_orderly_end() {
+  void completes_a_response_without_length_only_at_end_of_stream() {
     ResponseReader reader;
     reader.begin(false);
     CPPUNIT_ASSERT(reader.consume("HTTP/1.1 200 OK\r\n\r\nall") == ReadStatus::need_more);
@@ -61,7 +61,7 @@
     CPPUNIT_ASSERT(!reader.keep_alive());
   }
 
-  void an_answer_cut_short_is_never_whole() {
+  void never_completes_a_truncated_response() {
     for (const char* text : {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", "HTTP/1.1 200 O",
                              "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n"}) {
       ResponseReader reader;
@@ -71,21 +71,21 @@
     }
   }
 
-  void bytes_beyond_an_answer_show() {
+  void detects_bytes_after_a_response() {
     ResponseReader reader;
     reader.begin(false);
-    const std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na";
-    CPPUNIT_ASSERT(reader.consume(answer + answer) == ReadStatus::complete);
+    const std::string response = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na";
+    CPPUNIT_ASSERT(reader.consume(response + response) == ReadStatus::complete);
     CPPUNIT_ASSERT(reader.has_surplus());
   }
 
-  void bytes_that_are_no_answer_are_malformed() {
+  void reports_invalid_bytes_as_malformed() {
     ResponseReader reader;
     reader.begin(false);
     CPPUNIT_ASSERT(reader.consume("garbage garbage\r\n\r\n") == ReadStatus::malformed);
   }
 
-  void interim_answers_are_passed_over() {
+  void skips_interim_responses() {
     ResponseReader reader;
     reader.begin(false);
     const auto status = reader.consume(
@@ -94,7 +94,7 @@
     CPPUNIT_ASSERT_EQUAL(200U, reader.head().result_int());
   }
 
-  void a_head_too_large_is_refused_however_it_arrives() {
+  void rejects_a_too_large_head_split_anywhere() {
     const std::string head = "GET /a HTTP/1.1\r\nHost: h\r\nX-Long: " + std::string(80, 'x');
     const std::string request = head + "\r\n\r\n";
     for (std::size_t limit = request.size() - 1; limit <= request.size(); ++limit) {
@@ -112,7 +112,7 @@
     }
   }
 
-  void requests_one_after_the_other() {
+  void reads_pipelined_requests() {
     RequestReader reader{RequestLimits{}};
     const std::string first = "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nxy";
     const std::string second = "GET /b HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n";
@@ -127,7 +127,7 @@
     CPPUNIT_ASSERT(!reader.has_partial());
   }
 
-  void limits_and_malformed_requests() {
+  void enforces_limits_and_rejects_malformed_requests() {
     const RequestLimits limits{200, 10};
     RequestReader body(limits);
     CPPUNIT_ASSERT(body.consume("POST / HTTP/1.1\r\nContent-Length: 11\r\n\r\n") ==
@@ -143,7 +143,7 @@
     CPPUNIT_ASSERT(malformed.consume("nonsense\r\n\r\n") == RequestStatus::malformed);
   }
 
-  void a_request_with_two_lengths_is_refused() {
+  void rejects_a_request_with_two_lengths() {
     for (const char* fields : {"Content-Length: 1\r\nContent-Length: 2\r\n",
                                "Transfer-Encoding: chunked\r\nContent-Length: 2\r\n",
                                "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n"}) {
@@ -153,7 +153,7 @@
     }
   }
 
-  void hop_by_hop_fields_stay_behind() {
+  void removes_hop_by_hop_fields() {
     RequestReader reader{RequestLimits{}};
     reader.consume(
         "GET / HTTP/1.1\r\nHost: h\r\nConnection: keep-alive, X-Mine\r\nX-Mine: 1\r\n"
