--- a/src/transport/wire_connection.cpp
+++ b/src/transport/wire_connection.cpp
@@ -101,11 +101,11 @@
 
 bool WireConnection::write_available() {
   while (!outgoing_.empty()) {
-    const auto& front = outgoing_.front();
+    const auto& first_frame = outgoing_.front();
     GError* error = nullptr;
     const gssize count =
-        g_socket_send(socket_, reinterpret_cast<const gchar*>(front.data()) + front_offset_,
-                      front.size() - front_offset_, nullptr, &error);
+        g_socket_send(socket_, reinterpret_cast<const gchar*>(first_frame.data()) + front_offset_,
+                      first_frame.size() - front_offset_, nullptr, &error);
     if (count < 0) {
       const bool would_block = g_error_matches(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK) != 0;
       const std::string reason = error->message;
@@ -115,7 +115,7 @@
     }
     front_offset_ += static_cast<std::size_t>(count);
     queued_bytes_ -= static_cast<std::size_t>(count);
-    if (front_offset_ == front.size()) {
+    if (front_offset_ == first_frame.size()) {
       outgoing_.pop_front();
       front_offset_ = 0;
     }
