--- a/src/http1/tcp_stream.cpp
+++ b/src/http1/tcp_stream.cpp
@@ -36,8 +36,7 @@
 TcpStream::TcpStream(const Address& address, Duration user_timeout, StreamObserver& observer)
     : observer_(observer) {
   descriptor_ = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (descriptor_ < 0)
-    return;  // Out of descriptors: never connects, so that the owner's timeout ends it.
+  if (descriptor_ < 0) return;  // Out of descriptors: the owner's timeout ends the attempt.
   set_no_delay(descriptor_);
   set_tcp_user_timeout(descriptor_, user_timeout);
   enable_tcp_keepalive(descriptor_, kFastKeepaliveIdle);
--- a/src/transport/peer_links.cpp
+++ b/src/transport/peer_links.cpp
@@ -86,8 +86,7 @@
   if (found == links_.end()) return;
   if (!connection) {
     metrics_.count("pumicemast_agent_peer_connect_failures_total");
-    if (found->second.connection)
-      return;  // The peer has connected to this process in the meantime.
+    if (found->second.connection) return;  // The peer has connected in the meantime.
     links_.erase(found);
     callbacks_.on_lost(peer);
     return;
