--- a/src/http1/status_server.h
+++ b/src/http1/status_server.h
@@ -1,4 +1,4 @@
-/// Answers simple GET requests of operators and the surrounding platform: readiness, metrics.
+/// Serves simple GET requests of operators and the platform, such as readiness and metrics.
 #pragma once
 
 #include <functional>
@@ -12,7 +12,7 @@
 
 namespace pumicemast {
 
-struct StatusAnswer {
+struct StatusResponse {
   int status = 200;
   std::string content_type = "text/plain";
   std::string body;
@@ -20,19 +20,19 @@
 
 class StatusServer : public TcpListener::Acceptor, public CallerConnectionObserver {
  public:
-  /// Answers a GET of the path that the request names (without its query).
-  using Responder = std::function<StatusAnswer(const std::string& path)>;
+  /// Returns the response to a GET of `path`, which excludes the query.
+  using Responder = std::function<StatusResponse(const std::string& path)>;
 
   explicit StatusServer(Responder responder) : responder_(std::move(responder)) {}
   /// @return false when the address cannot be bound.
   bool listen(const Address& address);
-  /// Ends connections that have rested too long. Call every few seconds.
+  /// Closes connections that have been idle too long. Call every few seconds.
   void expire(TimePoint now);
 
  private:
   void on_accepted(int descriptor) override;
   void on_caller_request(CallerConnection& connection, ReceivedRequest request) override;
-  void on_caller_gone(CallerConnection&) override {}
+  void on_caller_disconnected(CallerConnection&) override {}
   void on_caller_connection_closed(CallerConnection& connection) override;
 
   Responder responder_;
--- a/src/http1/tcp_stream.cpp
+++ b/src/http1/tcp_stream.cpp
@@ -8,13 +8,13 @@
 #include <cerrno>
 
 #include "http1/socket_address.h"
-#include "transport/silence_limits.h"
+#include "transport/tcp_keepalive.h"
 
 namespace pumicemast {
 namespace {
 
 constexpr std::size_t kReadBytes = 64U * 1024U;
-/// Queued bytes that were sent are dropped from the queue's front in steps of this size.
+/// Sent bytes are removed from the front of the queue once there are more than this.
 constexpr std::size_t kCompactBytes = 64U * 1024U;
 
 void set_no_delay(int descriptor) {
@@ -29,21 +29,21 @@
 TcpStream::TcpStream(int descriptor, StreamObserver& observer)
     : descriptor_(descriptor), observer_(observer), connected_(true) {
   set_no_delay(descriptor_);
-  probe_when_resting(descriptor_, kCallerProbeRest);
+  enable_tcp_keepalive(descriptor_, kCallerKeepaliveIdle);
   registration_ = SocketPoller::instance().add(descriptor_, *this, true, false);
 }
 
-TcpStream::TcpStream(const Address& address, Duration unanswered_limit, StreamObserver& observer)
+TcpStream::TcpStream(const Address& address, Duration user_timeout, StreamObserver& observer)
     : observer_(observer) {
   descriptor_ = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (descriptor_ < 0) return;  // Out of descriptors: never connected, told by the owner's limit.
+  if (descriptor_ < 0) return;  // Out of descriptors: the owner's timeout ends the attempt.
   set_no_delay(descriptor_);
-  limit_unacknowledged(descriptor_, unanswered_limit);
-  probe_when_resting(descriptor_, kPromptProbeRest);
+  set_tcp_user_timeout(descriptor_, user_timeout);
+  enable_tcp_keepalive(descriptor_, kFastKeepaliveIdle);
   const sockaddr_in target = to_socket_address(address);
   static_cast<void>(
       ::connect(descriptor_, reinterpret_cast<const sockaddr*>(&target), sizeof(target)));
-  // The outcome, also an immediate one, shows as writability.
+  // The socket becomes writable when connecting succeeds or fails, even if it does so at once.
   writing_ = true;
   registration_ = SocketPoller::instance().add(descriptor_, *this, true, true);
 }
@@ -77,12 +77,12 @@
   if (descriptor_ >= 0) SocketPoller::instance().set_interest(registration_, reading_, writing_);
 }
 
-void TcpStream::set_probing(bool probing) {
+void TcpStream::set_tcp_keepalive(bool probing) {
   if (descriptor_ < 0) return;
   if (probing) {
-    probe_when_resting(descriptor_, kPromptProbeRest);
+    enable_tcp_keepalive(descriptor_, kFastKeepaliveIdle);
   } else {
-    stop_probing(descriptor_);
+    disable_tcp_keepalive(descriptor_);
   }
 }
 
@@ -121,7 +121,7 @@
 void TcpStream::on_readable() {
   if (!connected_) finish_connecting();
   if (descriptor_ < 0 || !reading_) return;
-  static std::array<char, kReadBytes> buffer;  // One loop on one thread.
+  static std::array<char, kReadBytes> buffer;  // Safe to share: all streams run on one thread.
   const ssize_t count = ::recv(descriptor_, buffer.data(), buffer.size(), 0);
   if (count > 0) {
     observer_.on_stream_data({buffer.data(), static_cast<std::size_t>(count)});
@@ -150,11 +150,11 @@
 void TcpStream::on_writable() {
   if (!connected_) finish_connecting();
   if (descriptor_ < 0 || !connected_) return;
-  std::string_view rest(outgoing_);
-  rest.remove_prefix(outgoing_offset_);
-  if (!write_available(rest)) return;
-  outgoing_offset_ = outgoing_.size() - rest.size();
-  if (rest.empty()) {
+  std::string_view remaining(outgoing_);
+  remaining.remove_prefix(outgoing_offset_);
+  if (!write_available(remaining)) return;
+  outgoing_offset_ = outgoing_.size() - remaining.size();
+  if (remaining.empty()) {
     outgoing_.clear();
     outgoing_offset_ = 0;
     writing_ = false;
@@ -167,7 +167,7 @@
 }
 
 void TcpStream::on_broken() {
-  // What arrived before the failure was read first, in on_readable().
+  // Data received before the failure has already been read in on_readable().
   if (descriptor_ < 0) return;
   if (!connected_) finish_connecting();
   if (descriptor_ < 0) return;
--- a/src/load/main.cpp
+++ b/src/load/main.cpp
@@ -1,7 +1,7 @@
-/// pumicemast-load: sends mixed load and prints what came of it as figures.
+/// pumicemast-load: sends a mix of requests and prints the results as figures.
 ///
-/// With `[journals] urls`, the executions that engines and services wrote down are read
-/// afterwards and compared with what callers were told.
+/// With `[journals] urls`, it then reads the executions recorded by engines and services and
+/// compares them with the responses that callers received.
 #include <algorithm>
 #include <fstream>
 #include <iostream>
@@ -28,11 +28,11 @@
   return parts;
 }
 
-/// Executions by request id and by idempotency key, over all journals.
+/// Number of executions by request id and by idempotency key, summed over all journals.
 struct Executions {
   std::map<std::string, std::uint32_t> by_request;
   std::map<std::string, std::uint32_t> by_key;
-  std::uint32_t unreadable_journals = 0;  ///< Of back ends that were killed.
+  std::uint32_t unreadable_journals = 0;  ///< Journals of back ends that have been killed.
 };
 
 void add_journal(const std::string& body, Executions& executions) {
@@ -67,10 +67,10 @@
   return executions;
 }
 
-double percentile_ms(std::vector<Duration> values, double share) {
+double percentile_ms(std::vector<Duration> values, double fraction) {
   if (values.empty()) return 0;
   std::sort(values.begin(), values.end());
-  const auto index = static_cast<std::size_t>(share * static_cast<double>(values.size() - 1));
+  const auto index = static_cast<std::size_t>(fraction * static_cast<double>(values.size() - 1));
   return to_seconds(values[index]) * 1000;
 }
 
@@ -80,31 +80,31 @@
 
 void print_figures(const std::vector<LoadRecord>& records, const Executions& executions) {
   std::map<Verdict, std::uint32_t> verdicts;
-  std::uint32_t doubled = 0;
-  std::uint32_t ran_though_not_run = 0;
+  std::uint32_t executed_twice = 0;
+  std::uint32_t ran_despite_refusal = 0;
   std::vector<Duration> first_bytes;
   std::set<std::string> tags;
   std::set<std::string> keys;
   for (const LoadRecord& record : records) {
     ++verdicts[record.verdict];
     if (!record.tag.empty()) tags.insert(record.tag);
-    if (record.verdict == Verdict::whole) first_bytes.push_back(record.first_byte - record.sent);
+    if (record.verdict == Verdict::complete) first_bytes.push_back(record.first_byte - record.sent);
     const auto ran = executions.by_request.find(record.request_id);
     const bool executed = ran != executions.by_request.end();
-    if (record.verdict == Verdict::not_run && executed) ++ran_though_not_run;
+    if (record.verdict == Verdict::not_run && executed) ++ran_despite_refusal;
     if (!record.key.empty() && keys.insert(record.key).second) {
       const auto by_key = executions.by_key.find(record.key);
-      if (by_key != executions.by_key.end() && by_key->second > 1) ++doubled;
+      if (by_key != executions.by_key.end() && by_key->second > 1) ++executed_twice;
     }
   }
   print_figure("requests_sent", static_cast<double>(records.size()), "requests");
-  print_figure("answers_whole", verdicts[Verdict::whole], "answers");
+  print_figure("answers_whole", verdicts[Verdict::complete], "answers");
   print_figure("answers_lost", verdicts[Verdict::lost], "answers");
   print_figure("answers_foreign", verdicts[Verdict::foreign], "answers");
   print_figure("answers_mixed", verdicts[Verdict::mixed], "answers");
-  print_figure("answers_doubled", doubled, "keys");
+  print_figure("answers_doubled", executed_twice, "keys");
   print_figure("refused_not_run", verdicts[Verdict::not_run], "requests");
-  print_figure("refused_not_run_but_ran", ran_though_not_run, "requests");
+  print_figure("refused_not_run_but_ran", ran_despite_refusal, "requests");
   print_figure("outcome_unknown", verdicts[Verdict::unknown], "requests");
   print_figure("versions_seen", static_cast<double>(tags.size()), "versions");
   print_figure("journals_unreadable", executions.unreadable_journals, "journals");
@@ -134,7 +134,7 @@
   Findings findings;
   const DaemonStart start =
       start_daemon(argc, argv,
-                   {"pumicemast-load", "sends mixed load and checks every answer",
+                   {"pumicemast-load", "sends a mix of requests and checks every response",
                     "pumicemast-load --settings load.ini --set load.duration_ms=30000"},
                    findings);
   if (start.should_exit()) return start.exit_code;
--- a/src/transport/peer_links.cpp
+++ b/src/transport/peer_links.cpp
@@ -8,9 +8,10 @@
 namespace {
 
 constexpr Duration kConnectTimeout = seconds(3);
-/// Messages that wait for one connection to be made: what an agent or a gateway says to one peer
-/// in more than the 3 s that this may take. Later ones say what is true by then.
-constexpr std::size_t kMostWaiting = 256;
+/// Most messages that are queued while a connection to a peer is being established: more than an
+/// agent or a gateway sends to one peer within the 3 s of kConnectTimeout. The oldest are dropped
+/// first, since later messages carry more recent state.
+constexpr std::size_t kMaximumPendingMessages = 256;
 
 }  // namespace
 
@@ -49,7 +50,7 @@
   for (auto& [peer, link] : links_) {
     if (link.connection) link.connection->set_reading(reading);
   }
-  for (auto& [pointer, connection] : extra_) connection->set_reading(reading);
+  for (auto& [pointer, connection] : other_connections_) connection->set_reading(reading);
 }
 
 PeerLinks::Link* PeerLinks::ensure_link(PeerId peer) {
@@ -65,18 +66,18 @@
   return &link;
 }
 
-void PeerLinks::wait_for_connection(Link& link, WaitingMessage message) {
-  if (link.waiting.size() >= kMostWaiting) {
-    link.waiting.pop_front();
+void PeerLinks::queue_until_connected(Link& link, PendingMessage message) {
+  if (link.pending.size() >= kMaximumPendingMessages) {
+    link.pending.pop_front();
     metrics_.count("pumicemast_agent_peer_messages_dropped_total");
   }
-  link.waiting.push_back(std::move(message));
+  link.pending.push_back(std::move(message));
 }
 
-bool PeerLinks::has_room(WireConnection& connection) {
+bool PeerLinks::check_queue_limit(WireConnection& connection) {
   if (queue_limit_bytes_ == 0 || connection.queued_bytes() < queue_limit_bytes_) return true;
   if (connection.is_open()) metrics_.count("pumicemast_agent_peer_unread_total");
-  connection.close("the peer does not read");
+  connection.close("send queue limit reached");
   return false;
 }
 
@@ -85,7 +86,7 @@
   if (found == links_.end()) return;
   if (!connection) {
     metrics_.count("pumicemast_agent_peer_connect_failures_total");
-    if (found->second.connection) return;  // The peer connected to us meanwhile.
+    if (found->second.connection) return;  // The peer has connected in the meantime.
     links_.erase(found);
     callbacks_.on_lost(peer);
     return;
@@ -98,7 +99,7 @@
 
 void PeerLinks::attach(PeerId peer, WireConnection& connection) {
   const WireConnection* pointer = &connection;
-  connection.set_unanswered_limit(unanswered_limit_);
+  connection.set_user_timeout(user_timeout_);
   connection.start(
       {[this, peer](const wire::Frame& frame) { callbacks_.on_frame(peer, frame); },
        [this, peer, pointer](const std::string& reason) { on_closed(peer, pointer, reason); },
@@ -109,10 +110,10 @@
 void PeerLinks::adopt(PeerId peer, std::unique_ptr<WireConnection> connection) {
   Link& link = links_[peer];
   if (link.connection) {
-    // Both sides connected at once. The second is read, but not written to.
+    // Both sides connected at the same time. The second connection is read but not written to.
     WireConnection* second = connection.get();
-    extra_peers_[second] = peer;
-    extra_[second] = std::move(connection);
+    other_connection_peers_[second] = peer;
+    other_connections_[second] = std::move(connection);
     attach(peer, *second);
     return;
   }
@@ -123,58 +124,61 @@
 void PeerLinks::use_for_sending(Link& link, std::unique_ptr<WireConnection> connection) {
   link.connection = std::move(connection);
   link.connected_at = loop_now();
-  const auto waiting = std::move(link.waiting);
-  link.waiting.clear();
-  for (const auto& send_waiting : waiting) send_waiting(*link.connection);
+  const auto pending = std::move(link.pending);
+  link.pending.clear();
+  for (const auto& send_pending : pending) send_pending(*link.connection);
 }
 
 void PeerLinks::on_hello(PeerId peer, WireConnection* incoming) {
-  extra_peers_[incoming] = peer;
+  other_connection_peers_[incoming] = peer;
   Link& link = links_[peer];
-  // Both may have connected at once: then each writes to its own, and reads both.
-  const bool at_once = link.connection && loop_now() - link.connected_at <= kConnectTimeout;
-  if (at_once) return;
-  std::unique_ptr<WireConnection> older = std::move(link.connection);
-  use_for_sending(link, std::move(extra_.at(incoming)));
-  extra_.erase(incoming);
-  if (older) give_up(peer, std::move(older));
-}
-
-void PeerLinks::give_up(PeerId peer, std::unique_ptr<WireConnection> older) {
-  // Who had a connection would not have made another: the older one is lost to the peer, although
-  // it may only be silent here. Kept until its end is reported.
-  WireConnection* connection = older.get();
-  extra_peers_[connection] = peer;
-  extra_[connection] = std::move(older);
-  connection->close("the peer connected anew");
+  // Both sides may have connected at the same time. Each side then writes to the connection that it
+  // opened and reads from both.
+  const bool simultaneous = link.connection && loop_now() - link.connected_at <= kConnectTimeout;
+  if (simultaneous) return;
+  std::unique_ptr<WireConnection> replaced = std::move(link.connection);
+  use_for_sending(link, std::move(other_connections_.at(incoming)));
+  other_connections_.erase(incoming);
+  if (replaced) drop_replaced(peer, std::move(replaced));
+}
+
+void PeerLinks::drop_replaced(PeerId peer, std::unique_ptr<WireConnection> replaced) {
+  // A peer that still had its old connection would not have opened another, so the old one is dead
+  // for the peer even if it merely appears idle here. The object is kept until on_closed() reports
+  // its end.
+  WireConnection* connection = replaced.get();
+  other_connection_peers_[connection] = peer;
+  other_connections_[connection] = std::move(replaced);
+  connection->close("replaced by a new connection of the peer");
   callbacks_.on_lost(peer);
 }
 
 void PeerLinks::on_incoming(std::unique_ptr<WireConnection> connection) {
   WireConnection* pointer = connection.get();
-  extra_[pointer] = std::move(connection);
-  pointer->set_unanswered_limit(unanswered_limit_);
+  other_connections_[pointer] = std::move(connection);
+  pointer->set_user_timeout(user_timeout_);
   pointer->start({[this, pointer](const wire::Frame& frame) {
-                    const auto known = extra_peers_.find(pointer);
-                    if (known != extra_peers_.end()) {
+                    const auto known = other_connection_peers_.find(pointer);
+                    if (known != other_connection_peers_.end()) {
                       callbacks_.on_frame(known->second, frame);
                       return;
                     }
                     const auto* hello = frame.body_as_PeerHello();
                     if (hello == nullptr) {
-                      pointer->close("no hello");
+                      pointer->close("first frame is not a PeerHello");
                       return;
                     }
                     on_hello(stable_hash(hello->machine()->string_view()), pointer);
                   },
                   [this, pointer](const std::string& reason) {
-                    const auto known = extra_peers_.find(pointer);
-                    const PeerId peer = known == extra_peers_.end() ? 0 : known->second;
+                    const auto known = other_connection_peers_.find(pointer);
+                    const PeerId peer = known == other_connection_peers_.end() ? 0 : known->second;
                     on_closed(peer, pointer, reason);
                   },
                   [this, pointer] {
-                    const auto known = extra_peers_.find(pointer);
-                    if (known != extra_peers_.end()) callbacks_.on_drained(known->second);
+                    const auto known = other_connection_peers_.find(pointer);
+                    if (known != other_connection_peers_.end())
+                      callbacks_.on_drained(known->second);
                   }});
   if (!reading_) pointer->set_reading(false);
 }
@@ -185,25 +189,27 @@
   if (reason == "oversize frame" || reason == "malformed frame") {
     metrics_.count("pumicemast_agent_bad_frames_total", {{"reason", reason}});
   }
-  extra_peers_.erase(connection);
-  extra_.erase(connection);
+  other_connection_peers_.erase(connection);
+  other_connections_.erase(connection);
   const auto found = links_.find(peer);
   if (found == links_.end() || found->second.connection.get() != connection) return;
   links_.erase(found);
-  use_second_connection(peer);
+  promote_second_connection(peer);
   callbacks_.on_lost(peer);
 }
 
-void PeerLinks::use_second_connection(PeerId peer) {
-  // A peer without an address can't be connected to: without its other connection it would be read
-  // and never written to, for good.
-  const auto second = std::find_if(extra_.begin(), extra_.end(), [&](const auto& entry) {
-    const auto named = extra_peers_.find(entry.first);
-    return named != extra_peers_.end() && named->second == peer && entry.second->is_open();
-  });
-  if (second == extra_.end()) return;
+void PeerLinks::promote_second_connection(PeerId peer) {
+  // This process cannot connect to a peer whose address it does not know. Unless sending moves to
+  // the peer's other connection, messages from the peer would be read but none ever sent to it.
+  const auto second =
+      std::find_if(other_connections_.begin(), other_connections_.end(), [&](const auto& entry) {
+        const auto identified = other_connection_peers_.find(entry.first);
+        return identified != other_connection_peers_.end() && identified->second == peer &&
+               entry.second->is_open();
+      });
+  if (second == other_connections_.end()) return;
   std::unique_ptr<WireConnection> connection = std::move(second->second);
-  extra_.erase(second);
+  other_connections_.erase(second);
   use_for_sending(links_[peer], std::move(connection));
 }
 
--- a/src/transport/socket_poller.cpp
+++ b/src/transport/socket_poller.cpp
@@ -9,7 +9,7 @@
 namespace pumicemast {
 namespace {
 
-constexpr int kEventsPerTurn = 64;
+constexpr int kEventsPerIteration = 64;
 
 }  // namespace
 
@@ -60,12 +60,12 @@
 
 gboolean SocketPoller::dispatch(gint, GIOCondition, gpointer self) {
   auto* poller = static_cast<SocketPoller*>(self);
-  std::array<epoll_event, kEventsPerTurn> events{};
-  const int count = epoll_wait(poller->epoll_, events.data(), kEventsPerTurn, 0);
+  std::array<epoll_event, kEventsPerIteration> events{};
+  const int count = epoll_wait(poller->epoll_, events.data(), kEventsPerIteration, 0);
   for (int index = 0; index < count; ++index) {
     const epoll_event& event = events[static_cast<std::size_t>(index)];
     const Registration registration = event.data.u64;
-    // A handler before this one may have removed the registration.
+    // An earlier handler in this loop may have removed the registration.
     const auto handler = [&]() -> SocketHandler* {
       const auto found = poller->entries_.find(registration);
       return found == poller->entries_.end() ? nullptr : found->second.handler;
