--- a/tests/admission/overload_test.cpp
+++ b/tests/admission/overload_test.cpp
@@ -2,7 +2,7 @@
 
 #include <cstdio>
 
-#include "support/overload_world.h"
+#include "support/overload_simulation.h"
 
 namespace pumicemast {
 
@@ -23,7 +23,7 @@
     tests::OverloadOptions options;
     options.load = load;
     options.seed = seed;
-    const tests::OverloadResult result = tests::OverloadWorld(options).run();
+    const tests::OverloadResult result = tests::OverloadSimulation(options).run();
     std::printf("figure load=%.1f seed=%lu in_time=%.3f served=%.3f largest_tenth_in_time=%.3f\n",
                 load, static_cast<unsigned long>(seed), result.all.in_time_share(),
                 result.all.served_share(), result.largest_tenth.in_time_share());
@@ -47,8 +47,8 @@
   void a_wrong_prefill_rate_hurts_large_requests() {
     tests::OverloadOptions options;
     options.load = 1.3;
-    options.believed_prompt_rate = 10000;
-    const tests::OverloadResult result = tests::OverloadWorld(options).run();
+    options.configured_prompt_rate = 10000;
+    const tests::OverloadResult result = tests::OverloadSimulation(options).run();
     CPPUNIT_ASSERT(result.largest_tenth.in_time_share() < 0.7 * result.all.in_time_share());
   }
 
@@ -70,14 +70,14 @@
     const tests::OverloadResult result = simulate(1.3, 4);
     for (const auto& [gateway, counts] : result.by_gateway) {
       std::printf("figure gateway=%zu asked=%lu in_time=%.3f\n", gateway,
-                  static_cast<unsigned long>(counts.asked), counts.in_time_share());
+                  static_cast<unsigned long>(counts.total), counts.in_time_share());
       CPPUNIT_ASSERT(counts.in_time_share() >= 0.85 * result.all.in_time_share());
     }
   }
 
   void retries_take_no_capacity_from_first_attempts() {
     const tests::OverloadResult result = simulate(2.0, 5);
-    CPPUNIT_ASSERT(result.returns_served_while_first_refused == 0);
+    CPPUNIT_ASSERT(result.retries_served_while_first_refused == 0);
     CPPUNIT_ASSERT(result.all.late * 20 <= result.all.in_time);
   }
 
@@ -88,18 +88,17 @@
       tests::OverloadOptions options;
       options.load = load;
       options.seed = 6;
-      options.patience_spread = seconds(1);
-      const tests::OverloadResult result = tests::OverloadWorld(options).run();
+      options.timeout_jitter = seconds(1);
+      const tests::OverloadResult result = tests::OverloadSimulation(options).run();
       std::printf(
           "figure spread load=%.1f in_time=%.3f late=%.3f returned=%lu recognized=%lu "
           "asked_first=%lu mistaken=%lu\n",
           load, result.all.in_time_share(), result.all.served_share() - result.all.in_time_share(),
-          static_cast<unsigned long>(result.returned),
-          static_cast<unsigned long>(result.recognized),
-          static_cast<unsigned long>(result.asked_first),
-          static_cast<unsigned long>(result.mistaken));
-      CPPUNIT_ASSERT(result.recognized * 10 >= result.returned * 8);
-      CPPUNIT_ASSERT(result.mistaken * 50 <= result.asked_first);
+          static_cast<unsigned long>(result.retries), static_cast<unsigned long>(result.recognized),
+          static_cast<unsigned long>(result.first_attempts),
+          static_cast<unsigned long>(result.misclassified));
+      CPPUNIT_ASSERT(result.recognized * 10 >= result.retries * 8);
+      CPPUNIT_ASSERT(result.misclassified * 50 <= result.first_attempts);
       CPPUNIT_ASSERT(result.all.late * 10 <= result.all.in_time);
     }
   }
--- a/tests/common/event_loop_test.cpp
+++ b/tests/common/event_loop_test.cpp
@@ -9,7 +9,7 @@
 
 namespace pumicemast {
 
-using tests::sleep_through;
+using tests::suspend_machine;
 
 class EventLoopTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EventLoopTest);
@@ -23,7 +23,7 @@
  public:
   void time_runs_on_while_the_machine_is_suspended() {
     const TimePoint before = loop_now();
-    sleep_through(seconds(7));
+    suspend_machine(seconds(7));
     CPPUNIT_ASSERT(loop_now() - before >= seconds(7));
     CPPUNIT_ASSERT(loop_now() - before < seconds(8));
   }
@@ -37,7 +37,7 @@
     timeout.start_once(seconds(60), [&] { fired = true; });
     run_for(kTick * 3);
     CPPUNIT_ASSERT(!fired);
-    sleep_through(seconds(61));
+    suspend_machine(seconds(61));
     run_for(kTick * 10);
     CPPUNIT_ASSERT(fired);
   }
@@ -49,7 +49,7 @@
     const TimePoint due = loop_now() + seconds(60) + kTick * 20;
     tick.start_repeating(kTick, [] {});
     timeout.start_once(due - loop_now(), [&] { fired = true; });
-    sleep_through(seconds(60));
+    suspend_machine(seconds(60));
     run_for(kTick * 5);
     CPPUNIT_ASSERT(!fired);
     while (!fired) g_main_context_iteration(nullptr, TRUE);
@@ -64,7 +64,7 @@
     tick.start_repeating(kTick, [] {});
     slow.start_repeating(seconds(2), [&] { ++fired; });
     run_for(kTick);
-    sleep_through(seconds(20));
+    suspend_machine(seconds(20));
     run_for(kTick * 10);
     CPPUNIT_ASSERT_EQUAL(1, fired);
   }
--- a/tests/fuzz/bad_bytes_test.cpp
+++ b/tests/fuzz/bad_bytes_test.cpp
@@ -55,21 +55,21 @@
     "addresses=127.0.0.1:80;127.0.0.1:81\nurl=http://127.0.0.1:80\n[b]\nname=x\n";
 
 /// What a reader makes of some bytes.
-struct Reading {
+struct ParseResult {
   bool complete = false;  ///< It ended in order; a message that is malformed or cut off did not.
   std::string text;       ///< What was handed on.
 };
 
 /// Whether two readings of the same bytes, cut differently, agree. Bytes that will never be a
 /// message may be found out sooner or later, so that more or less was handed on before.
-bool agree(const Reading& one, const Reading& other) {
+bool agree(const ParseResult& one, const ParseResult& other) {
   if (one.complete != other.complete) return false;
   if (one.complete) return one.text == other.text;
   return one.text.starts_with(other.text) || other.text.starts_with(one.text);
 }
 
 template <class Pieces>
-Reading read_requests(const Pieces& pieces) {
+ParseResult read_requests(const Pieces& pieces) {
   RequestReader reader(RequestLimits{512, 256});
   std::ostringstream text;
   RequestStatus status = RequestStatus::need_more;
@@ -88,12 +88,12 @@
     }
     if (status != RequestStatus::need_more) break;
   }
-  const bool nothing_left = status == RequestStatus::need_more && !reader.has_partial();
-  return {nothing_left, text.str()};
+  const bool fully_consumed = status == RequestStatus::need_more && !reader.has_partial();
+  return {fully_consumed, text.str()};
 }
 
 template <class Pieces>
-Reading read_response(const Pieces& pieces) {
+ParseResult read_response(const Pieces& pieces) {
   ResponseReader reader;
   reader.begin(false);
   std::string body;
@@ -115,7 +115,7 @@
 }
 
 template <class Pieces>
-Reading read_frames(const Pieces& pieces) {
+ParseResult read_frames(const Pieces& pieces) {
   FrameReader reader;
   std::string text;
   FrameFault fault = FrameFault::none;
@@ -130,7 +130,7 @@
   return {fault == FrameFault::none, text};
 }
 
-void read_crash_news(const std::string& bytes, RequestQuarantine& quarantine, TimePoint now) {
+void read_crash_update(const std::string& bytes, RequestQuarantine& quarantine, TimePoint now) {
   FrameReader reader;
   const std::span<const std::uint8_t> view(reinterpret_cast<const std::uint8_t*>(bytes.data()),
                                            bytes.size());
@@ -166,7 +166,7 @@
   CPPUNIT_TEST(responses);
   CPPUNIT_TEST(event_streams);
   CPPUNIT_TEST(frames);
-  CPPUNIT_TEST(crash_news);
+  CPPUNIT_TEST(crash_updates);
   CPPUNIT_TEST(configurations);
   CPPUNIT_TEST(runners);
   CPPUNIT_TEST(settings);
@@ -182,12 +182,12 @@
     for (std::uint64_t number = 0; number < cases_; ++number) {
       tests::ByteMutator mutator(seed_ * cases_ + number, dictionary);
       const std::string bad = mutator.mutate(good);
-      const Reading whole = read(Pieces{bad});
-      const Reading in_pieces = read(mutator.cut(bad));
-      const std::string place = "case " + std::to_string(number) + " of seed " +
-                                std::to_string(seed_) + ": " +
-                                json(bad).dump(-1, ' ', true, json::error_handler_t::replace);
-      CPPUNIT_ASSERT_MESSAGE(place, agree(whole, in_pieces));
+      const ParseResult whole = read(Pieces{bad});
+      const ParseResult in_pieces = read(mutator.cut(bad));
+      const std::string description = "case " + std::to_string(number) + " of seed " +
+                                      std::to_string(seed_) + ": " +
+                                      json(bad).dump(-1, ' ', true, json::error_handler_t::replace);
+      CPPUNIT_ASSERT_MESSAGE(description, agree(whole, in_pieces));
     }
   }
 
@@ -219,16 +219,16 @@
     check_pieces(
         kEvents, {"\n\n", "\r\n\r\n", "id: ", "id:\n", "data: ", "\r"}, [](const Pieces& pieces) {
           EventSplitter splitter;
-          std::string passed_on;
+          std::string complete_events;
           std::string all;
           for (const std::string_view piece : pieces) {
-            passed_on += splitter.take_complete_events(piece);
+            complete_events += splitter.take_complete_events(piece);
             all += piece;
           }
           const std::string last_id = splitter.last_id().value_or("none");
-          CPPUNIT_ASSERT(passed_on + splitter.take_partial_event() == all);
-          return Reading{true,
-                         passed_on + "|" + last_id + "|" + std::to_string(splitter.event_count())};
+          CPPUNIT_ASSERT(complete_events + splitter.take_partial_event() == all);
+          return ParseResult{
+              true, complete_events + "|" + last_id + "|" + std::to_string(splitter.event_count())};
         });
   }
 
@@ -248,11 +248,11 @@
                  [](const Pieces& pieces) { return read_frames(pieces); });
   }
 
-  void crash_news() {
-    const CrashUpdate news{
+  void crash_updates() {
+    const CrashUpdate update{
         {{5, milliseconds(120), {{1, 2}, {3, 4}}, true}, {6, seconds(5), {{3, 4}}}},
         {{{1, 2}, milliseconds(7)}}};
-    const EncodedFrame frame = encode_frame(encode(news));
+    const EncodedFrame frame = encode_frame(encode(update));
     const std::string good(reinterpret_cast<const char*>(frame.data()), frame.size());
     RequestQuarantine quarantine;
     TimePoint now{seconds(1)};
@@ -261,7 +261,7 @@
                                  {std::string(4, '\0'), "\xff\xff\xff\x7f"});
       const std::string bad = mutator.mutate(good);
       now += milliseconds(10);
-      read_crash_news(bad, quarantine, now);
+      read_crash_update(bad, quarantine, now);
       CPPUNIT_ASSERT(quarantine.list(now).size() <= QuarantineOptions{}.capacity);
     }
   }
--- a/tests/gateway/backends/backend_permits_test.cpp
+++ b/tests/gateway/backends/backend_permits_test.cpp
@@ -2,7 +2,7 @@
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "support/gateway_world.h"
+#include "support/gateway_harness.h"
 
 namespace pumicemast {
 
@@ -110,39 +110,39 @@
   }
 
   void no_request_goes_to_a_limited_engine_without_a_permit() {
-    tests::GatewayWorld world;
-    world.add_engines();
-    world.pool.limits().on_reported("e1", {1.0, world.now}, LimitSource::agent);
+    tests::GatewayHarness harness;
+    harness.add_engines();
+    harness.pool.limits().on_reported("e1", {1.0, harness.now}, LimitSource::agent);
     for (int count = 0; count < 3; ++count) {
-      world.ask("/chat/1");
-      CPPUNIT_ASSERT_EQUAL(std::string("e2"), world.sent_to());
+      harness.send_request("/chat/1");
+      CPPUNIT_ASSERT_EQUAL(std::string("e2"), harness.sent_to());
     }
     // A retry needs no credit, but it needs a permit, too: the other engine refused the request.
-    const RequestNumber request = world.ask("/chat/1");
-    world.head(request, 503, true);
-    world.complete(request);
-    CPPUNIT_ASSERT_EQUAL(std::string(), world.sent_to());
+    const RequestNumber request = harness.send_request("/chat/1");
+    harness.receive_head(request, 503, true);
+    harness.complete_response(request);
+    CPPUNIT_ASSERT_EQUAL(std::string(), harness.sent_to());
     // With a permit, the limited engine is chosen like any other.
-    world.pool.permits().request("e1", world.now);
-    world.pool.permits().on_answer({"e1", world.now, true, Duration::zero(), {}}, world.now);
-    world.report(2, 0, 1, 4);
-    world.ask("/chat/1");
-    CPPUNIT_ASSERT_EQUAL(std::string("e1"), world.sent_to());
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, world.pool.permits().counters().used);
+    harness.pool.permits().request("e1", harness.now);
+    harness.pool.permits().on_answer({"e1", harness.now, true, Duration::zero(), {}}, harness.now);
+    harness.report_load(2, 0, 1, 4);
+    harness.send_request("/chat/1");
+    CPPUNIT_ASSERT_EQUAL(std::string("e1"), harness.sent_to());
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, harness.pool.permits().counters().used);
   }
 
   void a_refusal_for_a_limit_names_its_reason() {
-    tests::GatewayWorld world;
-    world.add_engines();
+    tests::GatewayHarness harness;
+    harness.add_engines();
     for (const char* engine : {"e1", "e2"}) {
-      world.pool.limits().on_reported(engine, {1.0, world.now}, LimitSource::agent);
+      harness.pool.limits().on_reported(engine, {1.0, harness.now}, LimitSource::agent);
     }
-    world.ask("/chat/1");
-    CPPUNIT_ASSERT_EQUAL(std::string(), world.sent_to());
+    harness.send_request("/chat/1");
+    CPPUNIT_ASSERT_EQUAL(std::string(), harness.sent_to());
     // One permit is requested for the one waiting request.
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world.pool.permits().outstanding(world.now));
-    world.tick(milliseconds(100));
-    const auto* refusal = world.first<SendRefusal>();
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, harness.pool.permits().outstanding(harness.now));
+    harness.advance(milliseconds(100));
+    const auto* refusal = harness.first_action<SendRefusal>();
     CPPUNIT_ASSERT(refusal != nullptr);
     CPPUNIT_ASSERT(refusal->reason == RefusalReason::rate_limited);
     CPPUNIT_ASSERT(refusal->retry_after > Duration::zero());
--- a/tests/gateway/backends/backend_pool_test.cpp
+++ b/tests/gateway/backends/backend_pool_test.cpp
@@ -3,7 +3,7 @@
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "admission/first_token_model.h"
-#include "support/gateway_world.h"
+#include "support/gateway_harness.h"
 
 namespace pumicemast {
 
@@ -39,8 +39,8 @@
   CPPUNIT_TEST(idle_connections_leave_room_for_all_gateways);
   CPPUNIT_TEST_SUITE_END();
 
-  tests::GatewayWorld world;
-  FleetConfiguration configuration = tests::GatewayWorld::configuration();
+  tests::GatewayHarness harness;
+  FleetConfiguration configuration = tests::GatewayHarness::configuration();
   BackendRequirements requirements;
 
  public:
@@ -68,140 +68,140 @@
   /// Neither its weights, nor its load, nor its failures are carried over.
   void an_engine_restarted_under_its_id_inherits_no_state() {
     use_engines();
-    world.pool.on_sent("e1", 500, world.now);
-    world.pool.on_failure("e1", world.now);
-    world.pool.on_removed("e1", ++world.revision, world.now);
-    BackendRecord restarted = world.pool.records().front();
+    harness.pool.on_sent("e1", 500, harness.now);
+    harness.pool.on_failure("e1", harness.now);
+    harness.pool.on_removed("e1", ++harness.revision, harness.now);
+    BackendRecord restarted = harness.pool.records().front();
     restarted.started_at_ms = 5;
-    restarted.revision = ++world.revision;
+    restarted.revision = ++harness.revision;
     restarted.weight_version = 0;
-    world.pool.on_record(restarted);
-    CPPUNIT_ASSERT(!world.pool.leaving("e1"));
+    harness.pool.on_record(restarted);
+    CPPUNIT_ASSERT(!harness.pool.leaving("e1"));
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());  // It has no weights yet.
-    world.report(1, 4, 1);
+    harness.report_load(1, 4, 1);
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
-    world.pool.on_finished("e1");  // A request to the earlier incarnation.
+    harness.pool.on_finished("e1");  // A request to the earlier incarnation.
   }
 
   void a_late_entry_of_an_earlier_incarnation_is_ignored() {
     use_engines();
-    const BackendRecord earlier = world.pool.records().front();
+    const BackendRecord earlier = harness.pool.records().front();
     BackendRecord restarted = earlier;
     restarted.started_at_ms = 5;
-    restarted.revision = ++world.revision;
-    world.pool.on_record(restarted);
-    world.report(1, 4, 1);
+    restarted.revision = ++harness.revision;
+    harness.pool.on_record(restarted);
+    harness.report_load(1, 4, 1);
     BackendRecord late = earlier;
     late.draining = true;
-    world.pool.on_record(late);
-    world.pool.on_removed("e1", earlier.revision, world.now);
+    harness.pool.on_record(late);
+    harness.pool.on_removed("e1", earlier.revision, harness.now);
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
   }
 
   /// The gateway receives neither its load nor the version of its weights.
   void an_unsubscribed_engine_gets_nothing() {
     use_engines();
-    world.report(1, 4, 1);
+    harness.report_load(1, 4, 1);
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
-    world.pool.set_subscribed_engines({});
+    harness.pool.set_subscribed_engines({});
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
-    CPPUNIT_ASSERT(!world.pool.has_weights(requirements.service->name, 0, world.now));
+    CPPUNIT_ASSERT(!harness.pool.has_weights(requirements.service->name, 0, harness.now));
   }
 
   /// One of three engines reports, which is half of the two subscribed ones: the other subscribed
   /// engine is possibly stalled.
   void unsubscribed_engines_do_not_count_as_silent() {
     use_engines();
-    world.add_backend("e2", "engines", 2, 1);
-    world.add_backend("e3", "engines", 3, 1);
+    harness.add_backend("e2", "engines", 2, 1);
+    harness.add_backend("e3", "engines", 3, 1);
     std::set<Address> subscribed;
-    for (const BackendRecord& record : world.pool.records()) {
+    for (const BackendRecord& record : harness.pool.records()) {
       if (record.id == "e1" || record.id == "e2") subscribed.insert(record.address);
     }
-    world.pool.set_subscribed_engines(subscribed);
-    world.report(1, 4, 1);
+    harness.pool.set_subscribed_engines(subscribed);
+    harness.report_load(1, 4, 1);
     for (int tries = 0; tries < 20; ++tries) CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
   }
 
   void a_leaving_back_end_gets_nothing_new() {
-    world.add_backend("p1", "plain", 1);
+    harness.add_backend("p1", "plain", 1);
     CPPUNIT_ASSERT_EQUAL(std::string("p1"), choose());
-    world.pool.on_leaving("p1", world.revision);
+    harness.pool.on_leaving("p1", harness.revision);
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
   }
 
   void a_removed_entry_counts_as_a_departure() {
-    world.add_backend("p1", "plain", 1);
-    world.pool.on_removed("p1", ++world.revision, world.now);
+    harness.add_backend("p1", "plain", 1);
+    harness.pool.on_removed("p1", ++harness.revision, harness.now);
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world.pool.recent_departures().size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, harness.pool.recent_departures().size());
   }
 
   void an_entry_that_expired_in_an_outage_is_used_while_its_agent_reports() {
     use_engines();
-    world.pool.on_list_reachable(false, world.now);
-    world.now += seconds(5);
-    world.report(1, 4, 1);
-    world.pool.on_list_reachable(true, world.now);
-    world.pool.on_removed("e1", ++world.revision, world.now);
+    harness.pool.on_list_reachable(false, harness.now);
+    harness.now += seconds(5);
+    harness.report_load(1, 4, 1);
+    harness.pool.on_list_reachable(true, harness.now);
+    harness.pool.on_removed("e1", ++harness.revision, harness.now);
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
     CPPUNIT_ASSERT(
-        world.pool.recent_departures().empty());  // Other gateways must not be told that it left.
-    world.now += milliseconds(1900);
-    world.report(1, 4, 1);
+        harness.pool.recent_departures().empty());  // Other gateways must not be told that it left.
+    harness.now += milliseconds(1900);
+    harness.report_load(1, 4, 1);
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
-    world.now += milliseconds(400);
-    world.report(1, 4, 1);
+    harness.now += milliseconds(400);
+    harness.report_load(1, 4, 1);
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
   }
 
   void the_expiry_grace_starts_when_the_list_is_reachable_again() {
     use_engines();
-    world.now += seconds(5);
-    world.pool.on_list_reachable(false, world.now);
-    world.now += seconds(5);
-    world.pool.on_list_reachable(true, world.now);
-    world.now += milliseconds(900);
-    world.report(1, 4, 1);
-    world.pool.on_removed("e1", ++world.revision, world.now);
+    harness.now += seconds(5);
+    harness.pool.on_list_reachable(false, harness.now);
+    harness.now += seconds(5);
+    harness.pool.on_list_reachable(true, harness.now);
+    harness.now += milliseconds(900);
+    harness.report_load(1, 4, 1);
+    harness.pool.on_removed("e1", ++harness.revision, harness.now);
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
-    world.now += milliseconds(1400);  // 2.3 s after the list became reachable.
-    world.report(1, 4, 1);
+    harness.now += milliseconds(1400);  // 2.3 s after the list became reachable.
+    harness.report_load(1, 4, 1);
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
   }
 
   void a_removal_well_after_an_outage_is_not_an_expiry() {
     use_engines();
-    world.pool.on_list_reachable(false, world.now);
-    world.pool.on_list_reachable(true, world.now);
-    world.now += milliseconds(1100);
-    world.report(1, 4, 1);
-    world.pool.on_removed("e1", ++world.revision, world.now);
+    harness.pool.on_list_reachable(false, harness.now);
+    harness.pool.on_list_reachable(true, harness.now);
+    harness.now += milliseconds(1100);
+    harness.report_load(1, 4, 1);
+    harness.pool.on_removed("e1", ++harness.revision, harness.now);
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
   }
 
   void an_entry_that_comes_back_is_used_again() {
-    world.add_backend("p1", "plain", 1);
-    world.pool.on_removed("p1", ++world.revision, world.now);
-    world.add_backend("p1", "plain", 1);  // With a higher revision.
+    harness.add_backend("p1", "plain", 1);
+    harness.pool.on_removed("p1", ++harness.revision, harness.now);
+    harness.add_backend("p1", "plain", 1);  // With a higher revision.
     CPPUNIT_ASSERT_EQUAL(std::string("p1"), choose());
   }
 
   void departures_reported_by_gateways_are_ordered_by_revision() {
-    world.add_backend("p1", "plain", 1);
-    world.pool.on_leaving("p1", world.revision - 1);  // Older than the entry here.
+    harness.add_backend("p1", "plain", 1);
+    harness.pool.on_leaving("p1", harness.revision - 1);  // Older than the entry here.
     CPPUNIT_ASSERT_EQUAL(std::string("p1"), choose());
-    world.pool.on_leaving("p1", world.revision + 1);
+    harness.pool.on_leaving("p1", harness.revision + 1);
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
   }
 
   void credits_bound_what_is_sent_until_the_next_report() {
     use_engines();
-    world.report(1, 2, 1);
+    harness.report_load(1, 2, 1);
     for (int count = 0; count < 2; ++count) {
-      world.now += milliseconds(1);
+      harness.now += milliseconds(1);
       CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
-      world.pool.on_sent("e1", 10, world.now);
+      harness.pool.on_sent("e1", 10, harness.now);
     }
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
     requirements.urgent = true;  // A retry needs no credit.
@@ -210,11 +210,11 @@
 
   void a_finished_request_returns_its_credit() {
     use_engines();
-    world.report(1, 1, 1);
-    world.now += milliseconds(1);
-    world.pool.on_sent("e1", 10, world.now);
+    harness.report_load(1, 1, 1);
+    harness.now += milliseconds(1);
+    harness.pool.on_sent("e1", 10, harness.now);
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
-    world.pool.on_finished("e1");
+    harness.pool.on_finished("e1");
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
   }
 
@@ -226,19 +226,19 @@
     load.weight_version = 1;
     load.running = 3;
     load.queued = 1;
-    world.pool.on_report({"127.0.0.1", 1}, load, world.now);
-    world.now += milliseconds(1);
-    world.pool.on_sent("e1", 10, world.now);
-    world.pool.on_finished("e1");
+    harness.pool.on_report({"127.0.0.1", 1}, load, harness.now);
+    harness.now += milliseconds(1);
+    harness.pool.on_sent("e1", 10, harness.now);
+    harness.pool.on_finished("e1");
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
   }
 
   void unreserved_only_requests_leave_reserved_slots_free() {
     use_engines();  // With four slots.
     requirements.unreserved_only = true;
-    world.report(1, 2, 1, 2);
+    harness.report_load(1, 2, 1, 2);
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
-    world.report(1, 1, 1, 3);
+    harness.report_load(1, 1, 1, 3);
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
     requirements.unreserved_only = false;
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
@@ -246,18 +246,18 @@
 
   void an_engine_whose_agent_alone_is_silent_is_skipped() {
     use_engines();
-    world.add_backend("e2", "engines", 2, 1);
-    world.report(2, 0, 1, 4);
-    world.now += seconds(1);
-    world.report(2, 0, 1, 4);  // Full, but alive; e1 does not report.
+    harness.add_backend("e2", "engines", 2, 1);
+    harness.report_load(2, 0, 1, 4);
+    harness.now += seconds(1);
+    harness.report_load(2, 0, 1, 4);  // Full, but alive; e1 does not report.
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
   }
 
   void without_agents_engines_are_still_used() {
     use_engines();
-    world.now += seconds(10);
+    harness.now += seconds(10);
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
-    world.pool.on_sent("e1", 10, world.now);
+    harness.pool.on_sent("e1", 10, harness.now);
     // The load from other gateways is estimated from this gateway's requests.
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
   }
@@ -265,13 +265,13 @@
   void an_engine_behind_a_slow_path_gets_nothing_new() {
     use_engines();
     const Address address{"127.0.0.1", 1};
-    world.pool.on_path_delay(address, milliseconds(5), world.now);
+    harness.pool.on_path_delay(address, milliseconds(5), harness.now);
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
-    world.pool.on_path_delay(address, milliseconds(400), world.now);
+    harness.pool.on_path_delay(address, milliseconds(400), harness.now);
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
-    world.pool.on_path_delay(address, milliseconds(5), world.now);
-    world.now += milliseconds(1300);  // A missing measurement counts as a delay.
-    world.report(1, 4, 1);
+    harness.pool.on_path_delay(address, milliseconds(5), harness.now);
+    harness.now += milliseconds(1300);  // A missing measurement counts as a delay.
+    harness.report_load(1, 4, 1);
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
   }
 
@@ -279,33 +279,33 @@
   /// may be narrow.
   void an_engine_whose_path_alone_was_never_measured_gets_nothing_new() {
     use_engines();
-    world.pool.on_path_delay({"127.0.0.1", 1}, milliseconds(2), world.now);
-    world.add_backend("e2", "engines", 2, 1);
-    world.report(2, 4, 1);
-    world.report(1, 0, 1, 4);  // Full.
+    harness.pool.on_path_delay({"127.0.0.1", 1}, milliseconds(2), harness.now);
+    harness.add_backend("e2", "engines", 2, 1);
+    harness.report_load(2, 4, 1);
+    harness.report_load(1, 0, 1, 4);  // Full.
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
-    world.pool.on_path_delay({"127.0.0.1", 2}, milliseconds(2), world.now);
+    harness.pool.on_path_delay({"127.0.0.1", 2}, milliseconds(2), harness.now);
     CPPUNIT_ASSERT_EQUAL(std::string("e2"), choose());
   }
 
   void the_backoff_doubles_with_each_failure() {
-    world.add_backend("p1", "plain", 1);
-    world.pool.on_failure("p1", world.now);
+    harness.add_backend("p1", "plain", 1);
+    harness.pool.on_failure("p1", harness.now);
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
-    world.now += milliseconds(250);
+    harness.now += milliseconds(250);
     CPPUNIT_ASSERT_EQUAL(std::string("p1"), choose());
-    world.pool.on_failure("p1", world.now);
-    world.now += milliseconds(250);
+    harness.pool.on_failure("p1", harness.now);
+    harness.now += milliseconds(250);
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
-    world.now += milliseconds(250);
+    harness.now += milliseconds(250);
     CPPUNIT_ASSERT_EQUAL(std::string("p1"), choose());
   }
 
   void a_continued_answer_prefers_its_version() {
     use_engines();
-    world.add_backend("e2", "engines", 2, 2);
-    world.report(1, 4, 1, 3);
-    world.report(2, 4, 2, 0);
+    harness.add_backend("e2", "engines", 2, 2);
+    harness.report_load(1, 4, 1, 3);
+    harness.report_load(2, 4, 2, 0);
     requirements.preferred_version = 1;
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), choose());
   }
@@ -327,7 +327,7 @@
     requirements.answer_tokens = 250;
     CPPUNIT_ASSERT_EQUAL(std::string("e2"), choose());
     // If that engine is full, the request waits. It does not delay the other engine's changeover.
-    world.report(2, 0, 1, 4);
+    harness.report_load(2, 0, 1, 4);
     CPPUNIT_ASSERT_EQUAL(std::string(""), choose());
   }
 
@@ -335,53 +335,53 @@
     use_engines();
     requirements.prompt_tokens = 1000;
     const double idle_ms = expected_ms();
-    world.pool.on_others_backlog({"127.0.0.1", 1}, 5000);
+    harness.pool.on_others_backlog({"127.0.0.1", 1}, 5000);
     EngineLoad load;
     load.pending_tokens = 5000;
     const double predicted_ms =
         predict_first_token_ms(*configuration.services[0].engine, load, requirements.prompt_tokens);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(predicted_ms, expected_ms(), 1e-6);
     CPPUNIT_ASSERT(predicted_ms > 2 * idle_ms);
-    world.pool.on_others_backlog({"127.0.0.1", 1}, 0);
+    harness.pool.on_others_backlog({"127.0.0.1", 1}, 0);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(idle_ms, expected_ms(), 1e-6);
   }
 
   void changed_backlogs_are_reported_once() {
     use_engines();
-    world.pool.on_sent("e1", 700, world.now);
-    const auto sent = world.pool.take_changed_backlogs();
+    harness.pool.on_sent("e1", 700, harness.now);
+    const auto sent = harness.pool.take_changed_backlogs();
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sent.size());
     CPPUNIT_ASSERT_DOUBLES_EQUAL(700.0, sent.front().pending_tokens, 1e-9);
-    CPPUNIT_ASSERT(world.pool.take_changed_backlogs().empty());
-    world.pool.on_first_token("e1", 700);
-    const auto begun = world.pool.take_changed_backlogs();
+    CPPUNIT_ASSERT(harness.pool.take_changed_backlogs().empty());
+    harness.pool.on_first_token("e1", 700);
+    const auto begun = harness.pool.take_changed_backlogs();
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, begun.size());
     CPPUNIT_ASSERT_DOUBLES_EQUAL(0.0, begun.front().pending_tokens, 1e-9);
   }
 
   void an_older_record_does_not_undo_a_newer_one() {
-    world.add_backend("p1", "plain", 1);
+    harness.add_backend("p1", "plain", 1);
     BackendRecord older;
     older.id = "p1";
     older.service = "plain";
     older.address = {"127.0.0.1", 1};
     older.draining = true;
     older.revision = 0;
-    world.pool.on_record(older);
+    harness.pool.on_record(older);
     CPPUNIT_ASSERT_EQUAL(std::string("p1"), choose());
   }
 
  private:
   void use_engines() {
     requirements.service = &configuration.services[0];
-    world.add_backend("e1", "engines", 1, 1);
-    world.report(1, 4, 1);
+    harness.add_backend("e1", "engines", 1, 1);
+    harness.report_load(1, 4, 1);
   }
   /// Adds two engines; e2 is busier, so that e1 is chosen unless it leaves too soon.
   void use_two_engines(std::optional<Duration> first_leaves,
                        std::optional<Duration> second_leaves) {
     use_engines();
-    world.add_backend("e2", "engines", 2, 1);
+    harness.add_backend("e2", "engines", 2, 1);
     const auto report = [&](std::uint16_t port, std::uint32_t running,
                             std::optional<Duration> leaves_in) {
       LoadReport load;
@@ -391,18 +391,18 @@
       load.running = running;
       load.leaves_in = leaves_in;
       load.others_pending_tokens = running * 1000;
-      world.pool.on_report({"127.0.0.1", port}, load, world.now);
+      harness.pool.on_report({"127.0.0.1", port}, load, harness.now);
     };
     report(1, 0, first_leaves);
     report(2, 3, second_leaves);
   }
   double expected_ms() {
-    const auto choice = world.pool.choose(requirements, {}, world.now);
+    const auto choice = harness.pool.choose(requirements, {}, harness.now);
     CPPUNIT_ASSERT(choice.has_value());
     return choice->expected_ms;
   }
   std::string choose() {
-    const auto choice = world.pool.choose(requirements, {}, world.now);
+    const auto choice = harness.pool.choose(requirements, {}, harness.now);
     return choice ? choice->id : "";
   }
 };
--- a/tests/gateway/backends/limited_fleet_test.cpp
+++ b/tests/gateway/backends/limited_fleet_test.cpp
@@ -52,7 +52,7 @@
   static void check_kept(const LimitedFleet& fleet, std::size_t engines, double limit,
                          TimePoint since, const std::string& what) {
     for (std::size_t engine = 0; engine < engines; ++engine) {
-      const int most = fleet.most_in_a_window(engine, since);
+      const int most = fleet.max_arrivals_in_window(engine, since);
       const std::string message = what + ": " + std::to_string(most) + " in a window, allowed " +
                                   std::to_string(allowed(limit));
       CPPUNIT_ASSERT_MESSAGE(message, most <= allowed(limit));
@@ -119,7 +119,7 @@
     fleet.reset_results();
     fleet.run(seconds(20));
     // The other engines have capacity for all requests.
-    CPPUNIT_ASSERT(fleet.results().served >= 0.99 * fleet.results().asked);
+    CPPUNIT_ASSERT(fleet.results().served >= 0.99 * fleet.results().sent);
 
     options.limited = 6;
     LimitedFleet all(options);
@@ -129,7 +129,7 @@
     CPPUNIT_ASSERT(all.results().rate_limited > 0);
     CPPUNIT_ASSERT_EQUAL(0, all.results().refused);
     // Refusals come within the time that a request waits for capacity, well before its deadline.
-    CPPUNIT_ASSERT(all.results().longest_refusal <= milliseconds(150));
+    CPPUNIT_ASSERT(all.results().max_refusal_delay <= milliseconds(150));
   }
 
   // Compares the ways to share the limit, and shows that the check fails where each gateway
@@ -137,7 +137,7 @@
   void gateways_that_each_enforce_the_limit_alone_exceed_it() {
     constexpr double kLimit = 50;
     for (const std::size_t gateways : {7U, 40U, 149U}) {
-      for (const LimitSharing sharing : {LimitSharing::issuer, LimitSharing::each_alone,
+      for (const LimitSharing sharing : {LimitSharing::issuer, LimitSharing::none,
                                          LimitSharing::equal_shares, LimitSharing::one_gateway}) {
         LimitedFleetOptions options;
         options.gateways = gateways;
@@ -146,11 +146,11 @@
         LimitedFleet fleet(options);
         const TimePoint since = name(fleet, kLimit, seconds(10));
         fleet.run(seconds(40));
-        const int most = fleet.most_in_a_window(0, since);
+        const int most = fleet.max_arrivals_in_window(0, since);
         const double used = fleet.arrived(0, since) / (kLimit * to_seconds(fleet.now() - since));
         std::printf("\ngateways=%zu sharing=%d most=%d allowed=%d used=%.2f", gateways,
                     static_cast<int>(sharing), most, allowed(kLimit), used);
-        if (sharing == LimitSharing::each_alone) CPPUNIT_ASSERT(most > allowed(kLimit));
+        if (sharing == LimitSharing::none) CPPUNIT_ASSERT(most > allowed(kLimit));
         if (sharing == LimitSharing::issuer) CPPUNIT_ASSERT(most <= allowed(kLimit));
       }
     }
@@ -166,7 +166,7 @@
     const TimePoint since = name(fleet, 2);
     for (std::size_t round = 0; round < 10; ++round) {
       fleet.freeze_gateway((3 * round) % gateways, milliseconds(700 + 300 * round));
-      fleet.cut_off_gateway((3 * round + 1) % gateways);
+      fleet.isolate_gateway((3 * round + 1) % gateways);
       fleet.run(milliseconds(400));
       fleet.restart_gateway((3 * round + 2) % gateways);
       fleet.run(milliseconds(900));
@@ -238,7 +238,7 @@
     fleet.run(seconds(12));
     fleet.reset_results();
     fleet.run(seconds(5));
-    CPPUNIT_ASSERT(fleet.results().served >= 0.95 * fleet.results().asked);
+    CPPUNIT_ASSERT(fleet.results().served >= 0.95 * fleet.results().sent);
   }
 
   void room_is_used_again_when_the_limit_ends() {
@@ -253,7 +253,7 @@
       fleet.run(seconds(2));
       fleet.reset_results();
       fleet.run(seconds(5));
-      CPPUNIT_ASSERT(fleet.results().served >= 0.95 * fleet.results().asked);
+      CPPUNIT_ASSERT(fleet.results().served >= 0.95 * fleet.results().sent);
     }
   }
 
@@ -273,7 +273,7 @@
       fleet.reset_results();
       fleet.run(seconds(20));
       const auto messages = static_cast<double>(fleet.permit_messages() - before);
-      const double per_request = messages / fleet.results().asked;
+      const double per_request = messages / fleet.results().sent;
       const double per_gateway = messages * kMessageBytes / 20 / static_cast<double>(gateways);
       const double per_engine = messages * kMessageBytes / 20 / 20;
       std::printf(
@@ -295,7 +295,7 @@
     fleet.run(milliseconds(200));
     fleet.reset_results();
     fleet.run(seconds(5));
-    CPPUNIT_ASSERT(fleet.results().served >= 0.95 * fleet.results().asked);
+    CPPUNIT_ASSERT(fleet.results().served >= 0.95 * fleet.results().sent);
   }
 };
 
--- a/tests/gateway/configuration/configuration_spread_test.cpp
+++ b/tests/gateway/configuration/configuration_spread_test.cpp
@@ -10,7 +10,7 @@
 
 #include <string>
 
-#include "support/configuration_spread_world.h"
+#include "support/configuration_spread_simulation.h"
 
 namespace pumicemast {
 
@@ -32,7 +32,7 @@
     return spread_configurations(setup);
   }
   static std::string describe(const SpreadOutcome& outcome) {
-    return "last_ms=" + std::to_string(to_milliseconds(outcome.last_after)) +
+    return "last_ms=" + std::to_string(to_milliseconds(outcome.propagation_time)) +
            " copies=" + std::to_string(outcome.copies) +
            " between_regions=" + std::to_string(outcome.copies_between_regions) +
            " peak_queued_bytes=" + std::to_string(outcome.peak_queued_bytes);
@@ -46,7 +46,7 @@
     for (const std::size_t bytes : {50'000U, 300'000U, 700'000U, 1'000'000U}) {
       for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) {
         const SpreadOutcome outcome = spread(bytes, seed);
-        check(outcome.all_have_newest && outcome.last_after < seconds(3), outcome);
+        check(outcome.all_have_newest && outcome.propagation_time < seconds(3), outcome);
       }
     }
   }
@@ -76,7 +76,7 @@
     for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) {
       setup.seed = seed;
       const SpreadOutcome outcome = spread_configurations(setup);
-      check(outcome.all_have_newest && outcome.last_after < seconds(3), outcome);
+      check(outcome.all_have_newest && outcome.propagation_time < seconds(3), outcome);
     }
   }
 
@@ -89,7 +89,7 @@
     for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) {
       setup.seed = seed;
       const SpreadOutcome outcome = spread_configurations(setup);
-      check(outcome.all_have_newest && outcome.last_after < seconds(8), outcome);
+      check(outcome.all_have_newest && outcome.propagation_time < seconds(8), outcome);
       check(outcome.copies_between_regions < 4 && outcome.peak_queued_bytes < 5'000'000, outcome);
     }
   }
--- a/tests/gateway/gateway_cores_test.cpp
+++ b/tests/gateway/gateway_cores_test.cpp
@@ -4,7 +4,7 @@
 #include "gateway/backends/weight_targets.h"
 #include "gateway/requests/event_splitter.h"
 #include "gateway/requests/route_table.h"
-#include "support/gateway_world.h"
+#include "support/gateway_harness.h"
 
 namespace pumicemast {
 
@@ -42,7 +42,7 @@
   }
 
   void keys_belong_to_tenants() {
-    const RouteTable table(tests::GatewayWorld::configuration());
+    const RouteTable table(tests::GatewayHarness::configuration());
     CPPUNIT_ASSERT_EQUAL(std::string("acme"), table.tenant_for_key("key-1")->name);
     CPPUNIT_ASSERT(table.tenant_for_key("key-2") == nullptr);
     CPPUNIT_ASSERT(table.tenant_for_key("") == nullptr);
--- a/tests/gateway/peers/fleet_start_test.cpp
+++ b/tests/gateway/peers/fleet_start_test.cpp
@@ -11,14 +11,14 @@
 #include <cstdio>
 #include <string>
 
-#include "support/fleet_start_world.h"
+#include "support/fleet_start_simulation.h"
 
 namespace pumicemast {
 
 using tests::FleetStartOutcome;
 using tests::FleetStartSetup;
 using tests::start_fleet;
-using tests::StartReading;
+using tests::StartupListSource;
 
 class FleetStartTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FleetStartTest);
@@ -36,11 +36,11 @@
   static constexpr Duration kListLimit = seconds(4);
 
   static std::string describe(const FleetStartOutcome& outcome) {
-    return "list_ms=" + std::to_string(to_milliseconds(outcome.list_at_last)) +
-           " in_force_ms=" + std::to_string(to_milliseconds(outcome.change_in_force)) +
+    return "list_ms=" + std::to_string(to_milliseconds(outcome.list_propagation_time)) +
+           " in_force_ms=" + std::to_string(to_milliseconds(outcome.change_propagation_time)) +
            " store_mb=" + std::to_string(outcome.megabytes_from_store_to_other_regions) +
            " lists=" + std::to_string(outcome.lists_read) +
-           " most_readers=" + std::to_string(outcome.most_readers);
+           " most_readers=" + std::to_string(outcome.max_readers_per_zone);
   }
   static FleetStartOutcome run_scenario(const FleetStartSetup& setup, const char* label) {
     const FleetStartOutcome outcome = start_fleet(setup);
@@ -57,8 +57,8 @@
       FleetStartSetup setup;
       setup.seed = seed;
       const FleetStartOutcome outcome = run_scenario(setup, "300");
-      check(outcome.list_at_last <= kListLimit, outcome);
-      check(outcome.change_in_force <= kInForceLimit, outcome);
+      check(outcome.list_propagation_time <= kListLimit, outcome);
+      check(outcome.change_propagation_time <= kInForceLimit, outcome);
     }
   }
 
@@ -67,7 +67,7 @@
       FleetStartSetup setup;
       setup.change_after = after;
       const FleetStartOutcome outcome = run_scenario(setup, "300-while");
-      check(outcome.change_in_force <= kInForceLimit, outcome);
+      check(outcome.change_propagation_time <= kInForceLimit, outcome);
     }
   }
 
@@ -77,7 +77,7 @@
       setup.seed = seed;
       setup.store_delay = milliseconds(240);
       const FleetStartOutcome outcome = run_scenario(setup, "store-slow");
-      check(outcome.change_in_force <= kInForceLimit, outcome);
+      check(outcome.change_propagation_time <= kInForceLimit, outcome);
       check(outcome.lists_read <= 2 * setup.zones, outcome);
     }
   }
@@ -88,7 +88,7 @@
       setup.gateways_per_zone = gateways;
       const FleetStartOutcome outcome = run_scenario(setup, "readers");
       check(outcome.lists_read <= 2 * setup.zones, outcome);
-      check(outcome.most_readers <= 3, outcome);
+      check(outcome.max_readers_per_zone <= 3, outcome);
     }
   }
 
@@ -97,8 +97,8 @@
       FleetStartSetup setup;
       setup.contact_hangs_after = after;
       const FleetStartOutcome outcome = run_scenario(setup, "contact-hangs");
-      check(outcome.list_at_last <= kListLimit, outcome);
-      check(outcome.change_in_force <= kInForceLimit, outcome);
+      check(outcome.list_propagation_time <= kListLimit, outcome);
+      check(outcome.change_propagation_time <= kInForceLimit, outcome);
     }
   }
 
@@ -110,16 +110,16 @@
     setup.agents_per_zone = 0;
     setup.backends = 6800;
     const FleetStartOutcome outcome = run_scenario(setup, "350+6800");
-    check(outcome.list_at_last <= seconds(8), outcome);
-    check(outcome.change_in_force <= kInForceLimit, outcome);
+    check(outcome.list_propagation_time <= seconds(8), outcome);
+    check(outcome.change_propagation_time <= kInForceLimit, outcome);
   }
 
   void links_are_full_when_every_process_reads_the_store() {
     FleetStartSetup setup;
-    setup.reading = StartReading::each_alone;
+    setup.list_source = StartupListSource::object_store;
     const FleetStartOutcome outcome = run_scenario(setup, "each-alone");
-    check(outcome.list_at_last > kListLimit, outcome);
-    check(outcome.change_in_force > kInForceLimit, outcome);
+    check(outcome.list_propagation_time > kListLimit, outcome);
+    check(outcome.change_propagation_time > kInForceLimit, outcome);
   }
 };
 
--- a/tests/gateway/quarantine/request_quarantine_test.cpp
+++ b/tests/gateway/quarantine/request_quarantine_test.cpp
@@ -7,11 +7,11 @@
 
 #include "gateway/quarantine/crash_messages.h"
 #include "gateway/quarantine/verdict_pull.h"
-#include "support/gateway_world.h"
+#include "support/gateway_harness.h"
 
 namespace pumicemast {
 
-using tests::GatewayWorld;
+using tests::GatewayHarness;
 
 class RequestQuarantineTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RequestQuarantineTest);
@@ -280,71 +280,71 @@
   }
 
   void a_quarantined_request_is_refused_at_once_as_not_run() {
-    GatewayWorld world;
-    world.add_engines();
-    const RequestFingerprint request = quarantine_in(world);
-    world.ask("/chat/1");
-    CPPUNIT_ASSERT_EQUAL(503, world.refused_with());
-    CPPUNIT_ASSERT(world.first<SendRefusal>()->reason == RefusalReason::quarantined);
-    CPPUNIT_ASSERT(world.first<SendRefusal>()->retry_after == Duration::zero());
-    CPPUNIT_ASSERT(world.sent_to().empty());
-    world.ask("/chat/2");
-    CPPUNIT_ASSERT(!world.sent_to().empty());
-    world.quarantine.set_pardoned({request});
-    world.ask("/chat/1");
-    CPPUNIT_ASSERT(!world.sent_to().empty());
+    GatewayHarness harness;
+    harness.add_engines();
+    const RequestFingerprint request = quarantine_in(harness);
+    harness.send_request("/chat/1");
+    CPPUNIT_ASSERT_EQUAL(503, harness.refusal_status());
+    CPPUNIT_ASSERT(harness.first_action<SendRefusal>()->reason == RefusalReason::quarantined);
+    CPPUNIT_ASSERT(harness.first_action<SendRefusal>()->retry_after == Duration::zero());
+    CPPUNIT_ASSERT(harness.sent_to().empty());
+    harness.send_request("/chat/2");
+    CPPUNIT_ASSERT(!harness.sent_to().empty());
+    harness.quarantine.set_pardoned({request});
+    harness.send_request("/chat/1");
+    CPPUNIT_ASSERT(!harness.sent_to().empty());
   }
 
   void an_attempt_that_has_not_begun_is_cancelled_when_the_request_is_quarantined() {
-    GatewayWorld world;
-    world.add_engines();
-    const RequestNumber waiting = world.ask("/chat/1");
-    const RequestNumber begun = world.ask("/chat/1");
-    world.head(begun, 200, false, true);
-    world.body(begun, "id: 1\ndata: x\n\n");
-    quarantine_in(world);
-    world.tick(milliseconds(25));
-    CPPUNIT_ASSERT(world.first<CancelAttempt>() != nullptr);
-    CPPUNIT_ASSERT_EQUAL(waiting, world.first<CancelAttempt>()->request);
+    GatewayHarness harness;
+    harness.add_engines();
+    const RequestNumber waiting = harness.send_request("/chat/1");
+    const RequestNumber begun = harness.send_request("/chat/1");
+    harness.receive_head(begun, 200, false, true);
+    harness.receive_body(begun, "id: 1\ndata: x\n\n");
+    quarantine_in(harness);
+    harness.advance(milliseconds(25));
+    CPPUNIT_ASSERT(harness.first_action<CancelAttempt>() != nullptr);
+    CPPUNIT_ASSERT_EQUAL(waiting, harness.first_action<CancelAttempt>()->request);
     // The attempt may have started meanwhile: the refusal does not say that it was not run.
-    CPPUNIT_ASSERT_EQUAL(502, world.refused_with());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world.forwarder.active());
+    CPPUNIT_ASSERT_EQUAL(502, harness.refusal_status());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, harness.forwarder.active());
     // The response completes: the verdict was wrong.
-    world.body(begun, "id: 2\ndata: y\n\n");
-    world.complete(begun);
-    CPPUNIT_ASSERT(world.first<EndResponse>() != nullptr);
-    world.ask("/chat/1");
-    CPPUNIT_ASSERT(!world.sent_to().empty());
+    harness.receive_body(begun, "id: 2\ndata: y\n\n");
+    harness.complete_response(begun);
+    CPPUNIT_ASSERT(harness.first_action<EndResponse>() != nullptr);
+    harness.send_request("/chat/1");
+    CPPUNIT_ASSERT(!harness.sent_to().empty());
   }
 
   void a_request_that_may_have_crashed_a_third_back_end_is_not_sent_again() {
-    GatewayWorld world;
-    world.add_engines();
+    GatewayHarness harness;
+    harness.add_engines();
     const RequestFingerprint request = fingerprint("/chat/1");
     for (const char* backend : {"x1", "x2"}) {
-      world.quarantine.on_crash({{backend, 1}, world.now, {request}});
+      harness.quarantine.on_crash({{backend, 1}, harness.now, {request}});
     }
-    const RequestNumber third = world.ask("/chat/1");
-    const RequestNumber bystander = world.ask("/chat/2");
-    world.fail(bystander, AttemptFailure::connection_lost);
-    CPPUNIT_ASSERT(!world.sent_to().empty());
-    world.fail(third, AttemptFailure::connection_lost);
-    CPPUNIT_ASSERT_EQUAL(502, world.refused_with());
+    const RequestNumber third = harness.send_request("/chat/1");
+    const RequestNumber bystander = harness.send_request("/chat/2");
+    harness.fail_attempt(bystander, AttemptFailure::connection_lost);
+    CPPUNIT_ASSERT(!harness.sent_to().empty());
+    harness.fail_attempt(third, AttemptFailure::connection_lost);
+    CPPUNIT_ASSERT_EQUAL(502, harness.refusal_status());
   }
 
   void exits_of_plain_services_are_probed_for() {
-    GatewayWorld world;
-    world.configure();
-    world.add_backend("p1", "plain", 7);
-    const RequestNumber number = world.ask("/write/1");
-    world.fail(number, AttemptFailure::connection_lost);
-    const auto* probe = world.first<ProbeBackend>();
+    GatewayHarness harness;
+    harness.configure();
+    harness.add_backend("p1", "plain", 7);
+    const RequestNumber number = harness.send_request("/write/1");
+    harness.fail_attempt(number, AttemptFailure::connection_lost);
+    const auto* probe = harness.first_action<ProbeBackend>();
     CPPUNIT_ASSERT(probe != nullptr && probe->backend == "p1");
     CPPUNIT_ASSERT_EQUAL(std::uint16_t{7}, probe->address.port);
-    world.forwarder.on_backend_ended("p1", world.now);
+    harness.forwarder.on_backend_ended("p1", harness.now);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1},
-                         world.forwarder.take_crashes(world.now + seconds(1)).size());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world.quarantine.crash_count(fingerprint("/write/1")));
+                         harness.forwarder.take_crashes(harness.now + seconds(1)).size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, harness.quarantine.crash_count(fingerprint("/write/1")));
   }
 
  private:
@@ -357,14 +357,14 @@
   void quarantine_request() {
     for (const char* backend : {"e1", "e2", "e3"}) crash(backend);
   }
-  /// Fingerprint of the request that GatewayWorld::ask() sends to `target`.
+  /// Fingerprint of the request that GatewayHarness::send_request() sends to `target`.
   static RequestFingerprint fingerprint(const std::string& target) {
     return fingerprint_for(fingerprint_content("POST", "api.example", target, ""), "acme");
   }
-  static RequestFingerprint quarantine_in(GatewayWorld& world) {
+  static RequestFingerprint quarantine_in(GatewayHarness& harness) {
     const RequestFingerprint request = fingerprint("/chat/1");
     for (const char* backend : {"x1", "x2", "x3"}) {
-      world.quarantine.on_crash({{backend, 1}, world.now, {request}});
+      harness.quarantine.on_crash({{backend, 1}, harness.now, {request}});
     }
     return request;
   }
--- a/tests/gateway/requests/crash_containment_test.cpp
+++ b/tests/gateway/requests/crash_containment_test.cpp
@@ -15,12 +15,12 @@
 #include <string>
 #include <vector>
 
-#include "support/crash_world.h"
+#include "support/crash_simulation.h"
 
 namespace pumicemast {
 
-using tests::CrashWorld;
-using tests::CrashWorldOptions;
+using tests::CrashSimulation;
+using tests::CrashSimulationOptions;
 
 namespace {
 
@@ -46,13 +46,13 @@
 
  public:
   void request_that_crashes_engines_is_quarantined_everywhere() {
-    CrashWorld world{CrashWorldOptions{}};
-    world.run(seconds(2));
-    world.send_killer("killer");
-    world.run(seconds(30));
+    CrashSimulation simulation{CrashSimulationOptions{}};
+    simulation.run(seconds(2));
+    simulation.send_crashing_request("killer");
+    simulation.run(seconds(30));
     CPPUNIT_ASSERT_EQUAL_MESSAGE("engines ended", kCrashesToQuarantine,
-                                 world.engines_ended_by("killer"));
-    CPPUNIT_ASSERT_EQUAL(0, world.ordinary().quarantined);
+                                 simulation.engines_crashed_by("killer"));
+    CPPUNIT_ASSERT_EQUAL(0, simulation.ordinary().quarantined);
   }
 
   void concurrent_crashing_requests_crash_few_more_engines() {
@@ -64,19 +64,19 @@
     int asked = 0;
     int broken_off = 0;
     for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) {
-      CrashWorldOptions options;
+      CrashSimulationOptions options;
       options.seed = seed;
-      CrashWorld world{options};
-      world.run(seconds(2));
-      for (const std::string& body : kCrashingBodies) world.send_killer(body, 3);
-      world.run(seconds(30));
+      CrashSimulation simulation{options};
+      simulation.run(seconds(2));
+      for (const std::string& body : kCrashingBodies) simulation.send_crashing_request(body, 3);
+      simulation.run(seconds(30));
       for (const std::string& body : kCrashingBodies) {
-        engine_crashes += world.engines_ended_by(body);
-        late_crashes += crashes_after_verdict(world, body);
+        engine_crashes += simulation.engines_crashed_by(body);
+        late_crashes += crashes_after_verdict(simulation, body);
       }
-      wrongly_quarantined += world.ordinary().quarantined;
-      asked += world.ordinary().asked;
-      broken_off += world.ordinary().broken_off;
+      wrongly_quarantined += simulation.ordinary().quarantined;
+      asked += simulation.ordinary().sent;
+      broken_off += simulation.ordinary().failed;
     }
     const double crashes_per_request = static_cast<double>(engine_crashes) / (kSeeds * 4.0);
     std::printf("figure killers=4 callers=3 ends_each=%.2f late=%d bystanders=%d of %d broken=%d\n",
@@ -95,15 +95,15 @@
     int wrongly_quarantined = 0;
     int asked = 0;
     for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) {
-      CrashWorldOptions options;
+      CrashSimulationOptions options;
       options.seed = seed;
-      CrashWorld world{options};
+      CrashSimulation simulation{options};
       for (int round = 0; round < 20; ++round) {
-        world.end_engines(static_cast<std::size_t>(round) % options.zones);
-        world.run(milliseconds(1500));
+        simulation.crash_engines(static_cast<std::size_t>(round) % options.zones);
+        simulation.run(milliseconds(1500));
       }
-      wrongly_quarantined += world.ordinary().quarantined;
-      asked += world.ordinary().asked;
+      wrongly_quarantined += simulation.ordinary().quarantined;
+      asked += simulation.ordinary().sent;
     }
     std::printf("figure engines_end_in_crowds bystanders=%d of %d\n", wrongly_quarantined, asked);
     CPPUNIT_ASSERT_EQUAL(0, wrongly_quarantined);
@@ -114,28 +114,28 @@
   // of a small fleet had crashed within a second.
   void popular_request_is_served_while_others_crash_engines() {
     for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) {
-      CrashWorldOptions options;
+      CrashSimulationOptions options;
       options.seed = seed;
       options.zones = 1;
       options.gateways_per_zone = 3;
       options.engines_per_zone = 3;
-      options.ordinary_per_s = 0;
-      CrashWorld world{options};
+      options.ordinary_requests_per_s = 0;
+      CrashSimulation simulation{options};
       int served_before = 0;
       for (int asked = 0; asked < 600; ++asked) {
         if (asked == 60) {
-          for (const std::string& body : kCrashingBodies) world.send_killer(body, 3);
+          for (const std::string& body : kCrashingBodies) simulation.send_crashing_request(body, 3);
         }
-        if (asked == 400) served_before = world.ordinary().served;
-        world.ask(static_cast<std::size_t>(asked) % 3, "poll");
-        world.run(milliseconds(50));
+        if (asked == 400) served_before = simulation.ordinary().served;
+        simulation.send_request(static_cast<std::size_t>(asked) % 3, "poll");
+        simulation.run(milliseconds(50));
       }
-      CPPUNIT_ASSERT_EQUAL(std::size_t{0}, world.quarantined_at("poll"));
-      CPPUNIT_ASSERT_EQUAL(0, world.ordinary().quarantined);
+      CPPUNIT_ASSERT_EQUAL(std::size_t{0}, simulation.quarantined_at("poll"));
+      CPPUNIT_ASSERT_EQUAL(0, simulation.ordinary().quarantined);
       std::printf("figure poll seed=%u served_before=%d served_after=%d\n", seed, served_before,
-                  world.ordinary().served - served_before);
+                  simulation.ordinary().served - served_before);
       // The last third of the requests, sent after all crashing requests are in quarantine.
-      CPPUNIT_ASSERT(world.ordinary().served - served_before > 190);
+      CPPUNIT_ASSERT(simulation.ordinary().served - served_before > 190);
     }
   }
 
@@ -145,26 +145,26 @@
   // processes had known that the request usually completes.
   void engines_failing_together_after_gateway_restarts_quarantine_nothing() {
     for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) {
-      CrashWorldOptions options;
+      CrashSimulationOptions options;
       options.seed = seed;
       options.zones = 1;
       options.gateways_per_zone = 3;
       options.engines_per_zone = 3;
-      options.ordinary_per_s = 0;
-      CrashWorld world{options};
-      const auto poll = [&world](int times) {
+      options.ordinary_requests_per_s = 0;
+      CrashSimulation simulation{options};
+      const auto poll = [&simulation](int times) {
         for (int asked = 0; asked < times; ++asked) {
-          world.ask(static_cast<std::size_t>(asked) % 3, "poll");
-          world.run(milliseconds(10));
+          simulation.send_request(static_cast<std::size_t>(asked) % 3, "poll");
+          simulation.run(milliseconds(10));
         }
       };
       poll(300);
-      for (std::size_t gateway = 0; gateway < 3; ++gateway) world.restart_gateway(gateway);
+      for (std::size_t gateway = 0; gateway < 3; ++gateway) simulation.restart_gateway(gateway);
       poll(15);
-      world.end_engines(0);
+      simulation.crash_engines(0);
       poll(300);
-      CPPUNIT_ASSERT_EQUAL(std::size_t{0}, world.quarantined_at("poll"));
-      CPPUNIT_ASSERT_EQUAL(0, world.ordinary().quarantined);
+      CPPUNIT_ASSERT_EQUAL(std::size_t{0}, simulation.quarantined_at("poll"));
+      CPPUNIT_ASSERT_EQUAL(0, simulation.ordinary().quarantined);
     }
   }
 
@@ -175,32 +175,32 @@
   /// @param engine_uptime       from the engines' return to their second crash.
   static void check_failure_after_restart(std::uint32_t seed, std::size_t restarted_gateways,
                                           Duration engine_uptime) {
-    CrashWorldOptions options;
+    CrashSimulationOptions options;
     options.seed = seed;
     options.zones = 1;
     options.gateways_per_zone = 3;
     options.engines_per_zone = 3;
-    options.ordinary_per_s = 0;
-    CrashWorld world{options};
+    options.ordinary_requests_per_s = 0;
+    CrashSimulation simulation{options};
     std::size_t asked = 0;
     const auto poll = [&](Duration span) {
-      for (const TimePoint end = world.now() + span; world.now() < end; ++asked) {
-        world.ask(asked % 3, "poll");
-        world.run(milliseconds(10));
+      for (const TimePoint end = simulation.now() + span; simulation.now() < end; ++asked) {
+        simulation.send_request(asked % 3, "poll");
+        simulation.run(milliseconds(10));
       }
     };
     poll(seconds(3));
-    world.end_engines(0);
+    simulation.crash_engines(0);
     for (std::size_t gateway = 0; gateway < restarted_gateways; ++gateway)
-      world.restart_gateway(gateway);
-    poll(CrashWorld::kDownFor + engine_uptime);
-    world.end_engines(0);
+      simulation.restart_gateway(gateway);
+    poll(CrashSimulation::kRestartTime + engine_uptime);
+    simulation.crash_engines(0);
     poll(seconds(3));
     const std::string what = "seed " + std::to_string(seed) + ", new " +
                              std::to_string(restarted_gateways) + ", engines served for " +
                              std::to_string(to_milliseconds(engine_uptime)) + " ms";
-    CPPUNIT_ASSERT_EQUAL_MESSAGE(what, std::size_t{0}, world.quarantined_at("poll"));
-    CPPUNIT_ASSERT_EQUAL_MESSAGE(what, 0, world.ordinary().quarantined);
+    CPPUNIT_ASSERT_EQUAL_MESSAGE(what, std::size_t{0}, simulation.quarantined_at("poll"));
+    CPPUNIT_ASSERT_EQUAL_MESSAGE(what, 0, simulation.ordinary().quarantined);
   }
 
   // A gateway learns from completed responses, not from the passing of time, which requests
@@ -216,44 +216,45 @@
   }
 
   void zone_power_loss_quarantines_nothing() {
-    CrashWorld world{CrashWorldOptions{}};
-    world.run(seconds(2));
-    const RequestNumber unlucky = world.ask(0, "unlucky");
+    CrashSimulation simulation{CrashSimulationOptions{}};
+    simulation.run(seconds(2));
+    const RequestNumber unlucky = simulation.send_request(0, "unlucky");
     CPPUNIT_ASSERT(unlucky > 0);
     for (std::size_t round = 0; round < 6; ++round) {
-      world.run(milliseconds(60));
-      world.lose_power(round % 3, seconds(1));
-      world.ask(round, "unlucky");
+      simulation.run(milliseconds(60));
+      simulation.lose_power(round % 3, seconds(1));
+      simulation.send_request(round, "unlucky");
     }
-    world.run(seconds(5));
-    for (std::size_t gateway = 0; gateway < world.gateways(); ++gateway) {
-      CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, world.quarantine(gateway).verdict_digest(world.now()));
+    simulation.run(seconds(5));
+    for (std::size_t gateway = 0; gateway < simulation.gateways(); ++gateway) {
+      CPPUNIT_ASSERT_EQUAL(std::uint64_t{0},
+                           simulation.quarantine(gateway).verdict_digest(simulation.now()));
     }
-    CPPUNIT_ASSERT_EQUAL(0, world.ordinary().quarantined);
+    CPPUNIT_ASSERT_EQUAL(0, simulation.ordinary().quarantined);
   }
 
   void restarted_gateway_learns_verdicts_within_a_second() {
-    CrashWorld world{CrashWorldOptions{}};
-    world.send_killer("killer");
-    world.run(seconds(5));
-    CPPUNIT_ASSERT_EQUAL(world.gateways(), world.quarantined_at("killer"));
-    for (std::size_t gateway = 0; gateway < world.gateways(); ++gateway) {
-      world.restart_gateway(gateway);
-      world.run(seconds(1));
-      CPPUNIT_ASSERT_EQUAL(world.gateways(), world.quarantined_at("killer"));
+    CrashSimulation simulation{CrashSimulationOptions{}};
+    simulation.send_crashing_request("killer");
+    simulation.run(seconds(5));
+    CPPUNIT_ASSERT_EQUAL(simulation.gateways(), simulation.quarantined_at("killer"));
+    for (std::size_t gateway = 0; gateway < simulation.gateways(); ++gateway) {
+      simulation.restart_gateway(gateway);
+      simulation.run(seconds(1));
+      CPPUNIT_ASSERT_EQUAL(simulation.gateways(), simulation.quarantined_at("killer"));
     }
-    CPPUNIT_ASSERT_EQUAL(kCrashesToQuarantine, world.engines_ended_by("killer"));
+    CPPUNIT_ASSERT_EQUAL(kCrashesToQuarantine, simulation.engines_crashed_by("killer"));
   }
 
   void partitioned_gateway_learns_verdicts_after_reconnecting() {
-    CrashWorld world{CrashWorldOptions{}};
-    world.cut_off_gateway(5);
-    world.send_killer("killer");
-    world.run(seconds(10));
-    CPPUNIT_ASSERT(world.quarantined_at("killer") >= world.gateways() - 1);
-    world.reconnect_gateway(5);
-    world.run(seconds(1));
-    CPPUNIT_ASSERT_EQUAL(world.gateways(), world.quarantined_at("killer"));
+    CrashSimulation simulation{CrashSimulationOptions{}};
+    simulation.isolate_gateway(5);
+    simulation.send_crashing_request("killer");
+    simulation.run(seconds(10));
+    CPPUNIT_ASSERT(simulation.quarantined_at("killer") >= simulation.gateways() - 1);
+    simulation.reconnect_gateway(5);
+    simulation.run(seconds(1));
+    CPPUNIT_ASSERT_EQUAL(simulation.gateways(), simulation.quarantined_at("killer"));
   }
 
   void quarantine_memory_is_bounded() {
@@ -284,8 +285,8 @@
   static constexpr Duration kVerdictPropagation = milliseconds(150);
 
   /// Engines that crashed after all gateways could know of the verdict.
-  static int crashes_after_verdict(CrashWorld& world, const std::string& body) {
-    const std::vector<TimePoint>& engine_crashes = world.ends_by(body);
+  static int crashes_after_verdict(CrashSimulation& simulation, const std::string& body) {
+    const std::vector<TimePoint>& engine_crashes = simulation.crashes_by(body);
     if (engine_crashes.size() <= kCrashesToQuarantine) return 0;
     return static_cast<int>(std::count_if(
         engine_crashes.begin() + kCrashesToQuarantine, engine_crashes.end(), [&](auto at) {
--- a/tests/gateway/requests/request_authorizer_test.cpp
+++ b/tests/gateway/requests/request_authorizer_test.cpp
@@ -4,7 +4,7 @@
 
 #include <map>
 
-#include "support/gateway_world.h"
+#include "support/gateway_harness.h"
 
 namespace pumicemast {
 
@@ -18,7 +18,7 @@
   CPPUNIT_TEST(route_weights_distribute_requests);
   CPPUNIT_TEST_SUITE_END();
 
-  FleetConfiguration configuration = tests::GatewayWorld::configuration();
+  FleetConfiguration configuration = tests::GatewayHarness::configuration();
   RequestAuthorizer authorizer{7};
   RequestMetadata request;
 
--- a/tests/gateway/requests/retry_share_test.cpp
+++ b/tests/gateway/requests/retry_share_test.cpp
@@ -31,7 +31,7 @@
   static constexpr TimePoint kStart{seconds(1000)};
 
   static void assert_within(const tests::RetryFleet& fleet) {
-    const tests::RepeatWindow worst = fleet.worst_window();
+    const tests::RetryWindow worst = fleet.worst_window();
     CPPUNIT_ASSERT_MESSAGE(worst.to_string(), worst.within());
   }
   static std::vector<int> forty_gateways() { return {14, 13, 13}; }
@@ -62,19 +62,19 @@
         fleet.add(draw(3), 2);
         return;
       case 3:
-        fleet.cut_off(draw(3));
+        fleet.isolate_zone(draw(3));
         return;
       case 4:
-        fleet.heal();
+        fleet.reconnect_zones();
         return;
       case 5:
-        fleet.lose_agents();
+        fleet.disconnect_agents();
         return;
       case 6:
-        fleet.bring_agents_back();
+        fleet.reconnect_agents();
         return;
       default:
-        fleet.fail(draw(2));
+        fleet.set_failure_rate(draw(2));
     }
   }
 
@@ -83,7 +83,7 @@
     for (std::uint32_t seed = 1; seed <= 5; ++seed) {
       tests::RetryFleet fleet(seed, forty_gateways());
       fleet.run(seconds(30));
-      fleet.fail(1);
+      fleet.set_failure_rate(1);
       fleet.run(seconds(4));
       fleet.restart_all();
       fleet.run(seconds(30));
@@ -94,10 +94,10 @@
   void gateways_without_known_peers_spend_little() {
     for (std::uint32_t seed = 1; seed <= 5; ++seed) {
       tests::RetryFleet fleet(seed, forty_gateways());
-      fleet.lose_agents();
+      fleet.disconnect_agents();
       fleet.restart_all();
       fleet.run(seconds(60));
-      fleet.fail(1);
+      fleet.set_failure_rate(1);
       fleet.run(seconds(30));
       assert_within(fleet);
     }
@@ -107,10 +107,10 @@
     for (std::uint32_t seed = 1; seed <= 5; ++seed) {
       tests::RetryFleet fleet(seed, forty_gateways());
       fleet.run(seconds(20));
-      fleet.cut_off(2);
+      fleet.isolate_zone(2);
       fleet.restart_all();
       fleet.run(seconds(60));
-      fleet.fail(1);
+      fleet.set_failure_rate(1);
       fleet.run(seconds(30));
       assert_within(fleet);
     }
@@ -120,7 +120,7 @@
     for (std::uint32_t seed = 1; seed <= 5; ++seed) {
       tests::RetryFleet fleet(seed, forty_gateways());
       fleet.run(seconds(30));
-      fleet.fail(1);
+      fleet.set_failure_rate(1);
       fleet.run(seconds(4));
       for (std::size_t gateway = 0; gateway < fleet.size(); ++gateway) {
         fleet.restart(gateway);
@@ -135,7 +135,7 @@
     for (std::uint32_t seed = 1; seed <= 5; ++seed) {
       tests::RetryFleet fleet(seed, forty_gateways());
       fleet.run(seconds(30));
-      fleet.fail(1);
+      fleet.set_failure_rate(1);
       fleet.run(seconds(4));
       for (int restart = 0; restart < 3; ++restart) {
         fleet.restart_all();
@@ -150,7 +150,7 @@
     for (std::uint32_t seed = 1; seed <= 5; ++seed) {
       tests::RetryFleet fleet(seed, forty_gateways());
       fleet.run(seconds(30));
-      fleet.fail(1);
+      fleet.set_failure_rate(1);
       fleet.run(seconds(4));
       for (std::size_t zone = 0; zone < 3; ++zone) fleet.add(zone, 10);
       fleet.run(seconds(30));
@@ -239,10 +239,10 @@
     int repeats = 0;
     for (std::uint32_t seed = 1; seed <= 20; ++seed) {
       tests::RetryFleet fleet(seed, forty_gateways());
-      fleet.fail(0.07);
+      fleet.set_failure_rate(0.07);
       fleet.run(seconds(11));
       failures += fleet.failures();
-      repeats += fleet.repeats();
+      repeats += fleet.retries();
     }
     const std::string summary = std::to_string(repeats) + " of " + std::to_string(failures);
     CPPUNIT_ASSERT_MESSAGE(summary, repeats >= 0.8 * failures);
--- a/tests/http/http_client_test.cpp
+++ b/tests/http/http_client_test.cpp
@@ -56,11 +56,11 @@
   void a_cancelled_call_says_nothing_more() {
     begin(server_.address());
     tests::run_until([&] { return server_.try_accept(); });
-    server_.say(std::string(kChunkedHead) + "3\r\nabc\r\n");
+    server_.send_text(std::string(kChunkedHead) + "3\r\nabc\r\n");
     tests::run_until([&] { return body_ == "abc"; });
     call_.reset();
     // The peer finds its connection broken, and stops.
-    tests::run_until([&] { return !server_.try_say("3\r\ndef\r\n"); });
+    tests::run_until([&] { return !server_.try_send_text("3\r\ndef\r\n"); });
     for (int turn = 0; turn < 50; ++turn) g_main_context_iteration(nullptr, FALSE);
     CPPUNIT_ASSERT_EQUAL(std::string("abc"), body_);
     CPPUNIT_ASSERT(!ended_.has_value());
@@ -85,8 +85,8 @@
     begin(server_.address());
     tests::run_until([&] { return server_.try_accept(); });
     tests::run_until([&] { return server_.try_read_request("{}"); });
-    server_.say(answer);
-    server_.end();
+    server_.send_text(answer);
+    server_.close_connection();
     tests::run_until([&] { return ended_.has_value(); });
     return *ended_;
   }
--- a/tests/http1/connections_test.cpp
+++ b/tests/http1/connections_test.cpp
@@ -51,14 +51,14 @@
   void an_answer_without_length_that_is_reset_is_cut_off() {
     begin("HTTP/1.1 200 OK\r\n\r\nhalf");
     run_until([&] { return recorder_.body == "half"; });
-    server_.end_with_reset();
+    server_.reset_connection();
     run_until([&] { return recorder_.over(); });
     CPPUNIT_ASSERT(recorder_.failure == ExchangeFailure::cut_off);
   }
 
   void an_answer_without_length_that_ends_is_whole() {
     begin("HTTP/1.1 200 OK\r\n\r\nall");
-    server_.end();
+    server_.close_connection();
     run_until([&] { return recorder_.over(); });
     CPPUNIT_ASSERT(recorder_.complete);
     CPPUNIT_ASSERT(!connection_->reusable());
@@ -79,7 +79,7 @@
   void a_connection_closed_before_an_answer_may_have_run_it() {
     begin("");
     run_until([&] { return connection_->connected(); });
-    server_.end();
+    server_.close_connection();
     run_until([&] { return recorder_.over(); });
     CPPUNIT_ASSERT(recorder_.failure == ExchangeFailure::cut_off);
   }
@@ -99,7 +99,7 @@
     begin("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
     run_until([&] { return recorder_.over(); });
     CPPUNIT_ASSERT(connection_->reusable());
-    server_.say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno");
+    server_.send_text("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno");
     run_until([&] { return recorder_.idle_ended; });
     CPPUNIT_ASSERT(!connection_->reusable());
     CPPUNIT_ASSERT_EQUAL(std::string("ok"), recorder_.body);
@@ -119,7 +119,7 @@
     begin("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
     run_until([&] { return recorder_.over(); });
     CPPUNIT_ASSERT(connection_->reusable());
-    server_.go_silent();
+    server_.drop_incoming();
     run_until([&] { return recorder_.idle_ended; });
     CPPUNIT_ASSERT(!connection_->reusable());
   }
@@ -135,7 +135,7 @@
     fetcher.fetch(request, [&](const FetchResult& told) { result = told; });
     run_until([&] { return server_.try_accept(); });
     run_until([&] { return server_.try_read_request("\r\n\r\n"); });
-    server_.go_silent();
+    server_.drop_incoming();
     run_until([&] { return result.has_value(); });
     CPPUNIT_ASSERT(!result->answered());
   }
@@ -162,7 +162,7 @@
     server_.accept_one();
     run_until([&] { return connection_->connected(); });  // The request is out as well.
     server_.read_request();
-    if (!answer.empty()) server_.say(answer);
+    if (!answer.empty()) server_.send_text(answer);
   }
 
   ScriptedServer server_;
--- a/tests/main.cpp
+++ b/tests/main.cpp
@@ -36,8 +36,8 @@
 }
 
 /// @return how many tests were passed over.
-int run_but(const std::set<std::string>& known_red, CppUnit::Test& test,
-            CppUnit::TestResult& result) {
+int run_except(const std::set<std::string>& known_red, CppUnit::Test& test,
+               CppUnit::TestResult& result) {
   if (known_red.contains(without_namespace(test.getName()))) {
     std::cout << "passed over, known red: " << without_namespace(test.getName()) << "\n";
     return 1;
@@ -46,11 +46,11 @@
     test.run(&result);
     return 0;
   }
-  int passed_over = 0;
+  int skipped = 0;
   for (int child = 0; child < test.getChildTestCount(); ++child) {
-    passed_over += run_but(known_red, *test.getChildTestAt(child), result);
+    skipped += run_except(known_red, *test.getChildTestAt(child), result);
   }
-  return passed_over;
+  return skipped;
 }
 
 }  // namespace
@@ -63,19 +63,19 @@
   result.addListener(&progress);
   const std::set<std::string> known_red = read_known_red();
   CppUnit::Test* all = CppUnit::TestFactoryRegistry::getRegistry().makeTest();
-  int passed_over = 0;
-  if (argc < 2) passed_over += run_but(known_red, *all, result);
+  int skipped = 0;
+  if (argc < 2) skipped += run_except(known_red, *all, result);
   for (int index = 1; index < argc; ++index) {
     const std::string wanted = std::string("::") + argv[index];
     for (int child = 0; child < all->getChildTestCount(); ++child) {
       CppUnit::Test* fixture = all->getChildTestAt(child);
       if (fixture->getName().ends_with(wanted)) {
-        passed_over += run_but(known_red, *fixture, result);
+        skipped += run_except(known_red, *fixture, result);
       }
     }
   }
   CppUnit::CompilerOutputter outputter(&collector, std::cerr);
   outputter.write();
   // A fixture without tests would pass unseen.
-  return collector.wasSuccessful() && collector.runTests() + passed_over > 0 ? 0 : 1;
+  return collector.wasSuccessful() && collector.runTests() + skipped > 0 ? 0 : 1;
 }
--- a/tests/platform/origin_client_test.cpp
+++ b/tests/platform/origin_client_test.cpp
@@ -38,7 +38,7 @@
     run_until([&] { return server_.try_read_request("\r\n\r\n"); });
     const std::string target = server_.take_request_target();
     CPPUNIT_ASSERT_EQUAL(std::string("/piece/m?num=7&version=3"), target);
-    server_.say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+    server_.send_text("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
     run_until([&] { return !arrived_.empty(); });
     CPPUNIT_ASSERT_EQUAL(std::string("ok"), arrived_.front());
   }
@@ -57,7 +57,7 @@
         if (!server_.try_read_request("\r\n\r\n")) continue;
         const std::string target = server_.take_request_target();
         if (target.find("version=3") == std::string::npos) break;
-        server_.say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+        server_.send_text("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
         run_until([&] { return !arrived_.empty(); });
         break;
       }
@@ -78,8 +78,8 @@
       run_until([&] { return server_.try_accept(); });
       run_until([&] { return server_.try_read_request("\r\n\r\n"); });
       CPPUNIT_ASSERT_EQUAL(std::string(target), server_.take_request_target());
-      server_.say("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
-      server_.end();
+      server_.send_text("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+      server_.close_connection();
     }
     run_until([&] { return answered.size() == 2; });
     CPPUNIT_ASSERT((answered == std::vector<std::uint64_t>{2, 3}));
@@ -88,13 +88,13 @@
   void cancelling_a_chunk_leaves_other_chunks_alone() {
     fetch(2, 0);
     run_until([&] { return server_.try_accept(); });
-    server_.end();
+    server_.close_connection();
     fetch(2, 1);
     origin_.cancel_chunk("m", 2, 0);
     run_until([&] { return server_.try_accept(); });
     run_until([&] { return server_.try_read_request("\r\n\r\n"); });
     CPPUNIT_ASSERT_EQUAL(std::string("/piece/m?num=1&version=2"), server_.take_request_target());
-    server_.say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+    server_.send_text("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
     run_until([&] { return !arrived_.empty(); });
   }
 
@@ -103,10 +103,10 @@
     fetch(2, 0);
     run_until([&] { return server_.try_accept(); });
     run_until([&] { return server_.try_read_request("\r\n\r\n"); });
-    server_.say("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n");
+    server_.send_text("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n");
     for (int part = 0; part < 4; ++part) {
       wait_for(milliseconds(900));
-      server_.say("x");
+      server_.send_text("x");
     }
     run_until([&] { return !arrived_.empty(); });
     CPPUNIT_ASSERT_EQUAL(std::string("xxxx"), arrived_.front());
@@ -117,12 +117,12 @@
     fetch(2, 0);
     run_until([&] { return server_.try_accept(); });
     wait_for(milliseconds(2700));
-    server_.end();
+    server_.close_connection();
     fetch(2, 1);
     run_until([&] { return server_.try_accept(); });
     run_until([&] { return server_.try_read_request("\r\n\r\n"); });
     wait_for(milliseconds(3500));
-    server_.say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+    server_.send_text("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
     run_until([&] { return !arrived_.empty(); });
   }
 
--- a/tests/platform/runner_control_test.cpp
+++ b/tests/platform/runner_control_test.cpp
@@ -31,7 +31,7 @@
       if (before == 0) run_until([&] { return server_.try_accept(); });
       run_until([&] { return server_.try_read_request("}"); });
       server_.take_request_target();
-      server_.say(std::string("HTTP/1.1 ") + status + "\r\nContent-Length: 0\r\n\r\n");
+      server_.send_text(std::string("HTTP/1.1 ") + status + "\r\nContent-Length: 0\r\n\r\n");
       run_until([&] { return outcomes.size() > before; });
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, outcomes.size());
@@ -47,8 +47,8 @@
     run_until([&] { return server_.try_read_request("\r\n\r\n"); });
     server_.take_request_target();
     const std::string body = R"({"models":[],"busy":false,"seq":7})";
-    server_.say("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
-                body);
+    server_.send_text("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) +
+                      "\r\n\r\n" + body);
     run_until([&] { return report.has_value(); });
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, report->order_sequence);
 
--- a/tests/platform/store_list_test.cpp
+++ b/tests/platform/store_list_test.cpp
@@ -34,8 +34,8 @@
     return server_.take_request_target();
   }
   void answer(const std::string& body) {
-    server_.say("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " +
-                std::to_string(body.size()) + "\r\n\r\n" + body);
+    server_.send_text("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " +
+                      std::to_string(body.size()) + "\r\n\r\n" + body);
   }
 
  public:
--- a/tests/support/byte_mutator.h
+++ b/tests/support/byte_mutator.h
@@ -20,17 +20,17 @@
 
   /// `good` with one to eight changes.
   std::string mutate(std::string good) {
-    const std::size_t changes = 1 + below(kMostChanges);
-    for (std::size_t change = 0; change < changes; ++change) change_once(good);
+    const std::size_t changes = 1 + below(kMaximumChanges);
+    for (std::size_t change = 0; change < changes; ++change) apply_change(good);
     return good;
   }
 
   /// `good` with one value, at any depth, replaced by one of another kind or size.
   nlohmann::json mutate_document(const nlohmann::json& good) {
-    std::vector<nlohmann::json::json_pointer> places;
-    list_places(good, nlohmann::json::json_pointer(), places);
+    std::vector<nlohmann::json::json_pointer> pointers;
+    list_pointers(good, nlohmann::json::json_pointer(), pointers);
     nlohmann::json bad = good;
-    bad[places[below(places.size())]] = odd_value();
+    bad[pointers[below(pointers.size())]] = unusual_value();
     return bad;
   }
 
@@ -38,7 +38,7 @@
   std::vector<std::string_view> cut(std::string_view bytes) {
     std::vector<std::string_view> pieces;
     while (!bytes.empty()) {
-      const std::size_t length = std::min(bytes.size(), 1 + below(kLongestPiece));
+      const std::size_t length = std::min(bytes.size(), 1 + below(kMaximumPieceBytes));
       pieces.push_back(bytes.substr(0, length));
       bytes.remove_prefix(length);
     }
@@ -48,46 +48,48 @@
   std::size_t below(std::size_t limit) { return static_cast<std::size_t>(random_() % limit); }
 
  private:
-  static constexpr std::size_t kMostChanges = 8;
-  static constexpr std::size_t kLongestPiece = 40;
+  static constexpr std::size_t kMaximumChanges = 8;
+  static constexpr std::size_t kMaximumPieceBytes = 40;
   static constexpr std::size_t kByteValues = 256;
 
-  void change_once(std::string& bytes) {
-    const std::size_t place = below(bytes.size() + 1);
-    const std::size_t length = below(bytes.size() - place + 1);
+  void apply_change(std::string& bytes) {
+    const std::size_t position = below(bytes.size() + 1);
+    const std::size_t length = below(bytes.size() - position + 1);
     switch (below(6)) {
       case 0:
-        if (place < bytes.size()) bytes[place] = static_cast<char>(below(kByteValues));
+        if (position < bytes.size()) bytes[position] = static_cast<char>(below(kByteValues));
         return;
       case 1:
-        bytes.insert(place, 1, static_cast<char>(below(kByteValues)));
+        bytes.insert(position, 1, static_cast<char>(below(kByteValues)));
         return;
       case 2:
-        bytes.erase(place, std::min(length, kLongestPiece));
+        bytes.erase(position, std::min(length, kMaximumPieceBytes));
         return;
       case 3:
-        bytes.insert(place, bytes.substr(place, std::min(length, kLongestPiece)));
+        bytes.insert(position, bytes.substr(position, std::min(length, kMaximumPieceBytes)));
         return;
       case 4:
-        bytes.resize(place);
+        bytes.resize(position);
         return;
       default:
-        bytes.insert(place, dictionary_[below(dictionary_.size())]);
+        bytes.insert(position, dictionary_[below(dictionary_.size())]);
     }
   }
 
-  static void list_places(const nlohmann::json& value, const nlohmann::json::json_pointer& place,
-                          std::vector<nlohmann::json::json_pointer>& places) {
-    places.push_back(place);
+  static void list_pointers(const nlohmann::json& value,
+                            const nlohmann::json::json_pointer& pointer,
+                            std::vector<nlohmann::json::json_pointer>& pointers) {
+    pointers.push_back(pointer);
     if (value.is_object()) {
-      for (const auto& [key, inner] : value.items()) list_places(inner, place / key, places);
+      for (const auto& [key, inner] : value.items()) list_pointers(inner, pointer / key, pointers);
     }
     if (value.is_array()) {
-      for (std::size_t at = 0; at < value.size(); ++at) list_places(value[at], place / at, places);
+      for (std::size_t at = 0; at < value.size(); ++at)
+        list_pointers(value[at], pointer / at, pointers);
     }
   }
 
-  nlohmann::json odd_value() {
+  nlohmann::json unusual_value() {
     const std::array<nlohmann::json, 14> values = {
         nlohmann::json(),
         true,
--- a/tests/support/configuration_spread_world.h
+++ b/tests/support/configuration_spread_simulation.h
@@ -18,7 +18,7 @@
   double machine_mbit_per_s = 40;
   /// Between two regions each way, less the 4 Mbit/s that requests take.
   double region_mbit_per_s = 18;
-  Duration second_after = seconds(2);
+  Duration second_version_after = seconds(2);
   /// The first reader of each zone stops sending so long after the first version; zero for never.
   Duration reader_hangs_after = Duration::zero();
   std::uint32_t seed = 1;
@@ -27,7 +27,7 @@
 struct SpreadOutcome {
   bool all_have_newest = false;
   /// From the second version's appearance until the last gateway has it.
-  Duration last_after = Duration::zero();
+  Duration propagation_time = Duration::zero();
   /// Bytes of documents sent from gateways to gateways of another region, in documents.
   double copies_between_regions = 0;
   /// The same over all links, of both versions.
--- a/tests/support/crash_world.cpp
+++ b/tests/support/crash_simulation.cpp
@@ -1,4 +1,4 @@
-#include "support/crash_world.h"
+#include "support/crash_simulation.h"
 
 #include <algorithm>
 #include <iterator>
@@ -14,19 +14,19 @@
 constexpr std::uint64_t kStepsPerTick = 2;
 constexpr std::uint64_t kStepsPerSweep = 50;
 /// From the begin of a request to the end of its engine, as was seen.
-constexpr Duration kCrashAfter = milliseconds(50);
+constexpr Duration kCrashDelay = milliseconds(50);
 constexpr std::uint32_t kSlots = 16;
-constexpr int kEndless = 1000000;
+constexpr int kUnlimitedRetries = 1000000;
 constexpr int kOrdinaryRetries = 3;
-constexpr std::size_t kToldAtOnce = 8;
-constexpr std::size_t kDigestsTold = 3;
+constexpr std::size_t kGossipRecipients = 8;
+constexpr std::size_t kDigestRecipients = 3;
 /// On the wire, of an end or an acquittal, and of each request of it.
-constexpr std::size_t kBytesPerTold = 40;
+constexpr std::size_t kBytesPerReport = 40;
 constexpr std::size_t kBytesPerRequest = 16;
 
 }  // namespace
 
-struct CrashWorld::Gateway {
+struct CrashSimulation::Gateway {
   Gateway(std::size_t zone_index, std::uint64_t seed, TimePoint started)
       : zone(zone_index),
         targets(seconds(7)),
@@ -52,13 +52,13 @@
   RequestQuarantine quarantine;
   RequestForwarder forwarder;
   VerdictPull pull;
-  std::map<RequestNumber, Asked> asked;
+  std::map<RequestNumber, SentRequest> sent;
   RequestNumber next = 1;
 };
 
-CrashWorld::~CrashWorld() = default;
+CrashSimulation::~CrashSimulation() = default;
 
-CrashWorld::CrashWorld(const CrashWorldOptions& options)
+CrashSimulation::CrashSimulation(const CrashSimulationOptions& options)
     : options_(options), random_(options.seed) {
   for (std::size_t zone = 0; zone < options_.zones; ++zone) {
     for (std::size_t index = 0; index < options_.engines_per_zone; ++index) {
@@ -77,8 +77,8 @@
   for (const Engine& engine : engines_) report(engine);
 }
 
-std::unique_ptr<CrashWorld::Gateway> CrashWorld::start_gateway(std::size_t zone,
-                                                               std::uint64_t seed) {
+std::unique_ptr<CrashSimulation::Gateway> CrashSimulation::start_gateway(std::size_t zone,
+                                                                         std::uint64_t seed) {
   auto gateway = std::make_unique<Gateway>(zone, seed, now_);
   RouteRule route;
   route.name = "chat";
@@ -105,7 +105,7 @@
   return gateway;
 }
 
-void CrashWorld::list_engine(Gateway& gateway, const Engine& engine) {
+void CrashSimulation::list_engine(Gateway& gateway, const Engine& engine) {
   BackendRecord record;
   record.id = engine.id;
   record.service = "engines";
@@ -117,64 +117,65 @@
   gateway.pool.on_record(record);
 }
 
-double CrashWorld::draw(double from, double to) {
+double CrashSimulation::draw(double from, double to) {
   return std::uniform_real_distribution<double>(from, to)(random_);
 }
 
-void CrashWorld::send_killer(const std::string& body, int tries) {
-  killer_bodies_.insert(body);
-  for (int number = 0; number < tries; ++number) returns_.push_back({now_, {body, kEndless}});
+void CrashSimulation::send_crashing_request(const std::string& body, int callers) {
+  crashing_bodies_.insert(body);
+  for (int number = 0; number < callers; ++number)
+    retries_.push_back({now_, {body, kUnlimitedRetries}});
 }
 
-void CrashWorld::lose_power(std::size_t zone, Duration length) {
+void CrashSimulation::lose_power(std::size_t zone, Duration length) {
   for (Engine& engine : engines_) {
     if (engine.zone != zone) continue;
     engine.powered = false;
-    engine.power_back_at = now_ + length;
-    end_engine(engine);
+    engine.power_restored_at = now_ + length;
+    crash_engine(engine);
     for (const auto& gateway : gateways_) gateway->pool.on_agent_lost(engine.address);
   }
 }
 
-void CrashWorld::end_engines(std::size_t zone) {
+void CrashSimulation::crash_engines(std::size_t zone) {
   for (Engine& engine : engines_) {
-    if (engine.zone == zone && engine.up) end_engine(engine);
+    if (engine.zone == zone && engine.up) crash_engine(engine);
   }
 }
 
-void CrashWorld::restart_gateway(std::size_t gateway) {
+void CrashSimulation::restart_gateway(std::size_t gateway) {
   gateways_[gateway] = start_gateway(gateways_[gateway]->zone, steps_ + 1);
   for (Engine& engine : engines_) {
     std::erase_if(engine.runs, [&](const Run& run) { return run.gateway == gateway; });
   }
 }
 
-RequestNumber CrashWorld::ask(std::size_t gateway, const std::string& body) {
-  ask_as(gateway, {body, 0});
+RequestNumber CrashSimulation::send_request(std::size_t gateway, const std::string& body) {
+  start_request(gateway, {body, 0});
   return gateways_[gateway]->next - 1;
 }
 
-int CrashWorld::engines_ended_by(const std::string& body) const {
-  const auto found = ends_.find(body);
-  return found == ends_.end() ? 0 : static_cast<int>(found->second.size());
+int CrashSimulation::engines_crashed_by(const std::string& body) const {
+  const auto found = crashes_.find(body);
+  return found == crashes_.end() ? 0 : static_cast<int>(found->second.size());
 }
 
-void CrashWorld::run(Duration span) {
+void CrashSimulation::run(Duration span) {
   for (const TimePoint end = now_ + span; now_ < end; now_ += kStep) step();
 }
 
-void CrashWorld::step() {
+void CrashSimulation::step() {
   ++steps_;
   for (Engine& engine : engines_) advance(engine);
-  ask_ordinary();
-  come_again();
-  exchange_news();
+  send_ordinary_requests();
+  send_due_retries();
+  exchange_crash_updates();
   for (std::size_t index = 0; index < gateways_.size(); ++index) {
     if (steps_ % kStepsPerTick == 0) {
       ForwarderActions actions;
       gateways_[index]->forwarder.on_tick(now_, actions);
       gateways_[index]->forwarder.take_crashes(now_);
-      carry_out(index, actions);
+      execute_actions(index, actions);
     }
     if (steps_ % kStepsPerSweep == 0) {
       gateways_[index]->quarantine.sweep(now_);
@@ -184,44 +185,44 @@
   }
 }
 
-void CrashWorld::exchange_news() {
+void CrashSimulation::exchange_crash_updates() {
   const std::vector<Message> due = std::move(messages_);
   messages_.clear();
   for (const Message& message : due) {
-    gateways_[message.to]->quarantine.on_update(message.news, now_);
+    gateways_[message.to]->quarantine.on_update(message.update, now_);
   }
   for (std::size_t from = 0; from < gateways_.size(); ++from) {
-    const CrashUpdate news = gateways_[from]->quarantine.take_update(now_);
-    if (news.empty()) continue;
-    for (const std::size_t to : gateways_told(from)) send(from, to, news);
+    const CrashUpdate update = gateways_[from]->quarantine.take_update(now_);
+    if (update.empty()) continue;
+    for (const std::size_t to : gossip_recipients(from)) send(from, to, update);
   }
   if (steps_ % kStepsPerSweep == 0) compare_verdicts();
 }
 
-std::vector<std::size_t> CrashWorld::gateways_told(std::size_t from) {
+std::vector<std::size_t> CrashSimulation::gossip_recipients(std::size_t from) {
   std::vector<std::size_t> all(gateways_.size());
   std::iota(all.begin(), all.end(), 0);
   std::erase(all, from);
-  std::vector<std::size_t> told;
-  std::sample(all.begin(), all.end(), std::back_inserter(told), kToldAtOnce, random_);
-  return told;
+  std::vector<std::size_t> recipients;
+  std::sample(all.begin(), all.end(), std::back_inserter(recipients), kGossipRecipients, random_);
+  return recipients;
 }
 
-void CrashWorld::send(std::size_t from, std::size_t to, const CrashUpdate& news) {
-  if (cut_off_.contains(from) || cut_off_.contains(to)) return;
-  for (const ReportedCrash& crash : news.crashes) {
-    bytes_told_ += kBytesPerTold + kBytesPerRequest * crash.requests.size();
+void CrashSimulation::send(std::size_t from, std::size_t to, const CrashUpdate& update) {
+  if (isolated_.contains(from) || isolated_.contains(to)) return;
+  for (const ReportedCrash& crash : update.crashes) {
+    gossip_bytes_ += kBytesPerReport + kBytesPerRequest * crash.requests.size();
   }
-  bytes_told_ += kBytesPerTold * news.completions.size();
-  messages_.push_back({to, news});
+  gossip_bytes_ += kBytesPerReport * update.completions.size();
+  messages_.push_back({to, update});
 }
 
-void CrashWorld::compare_verdicts() {
+void CrashSimulation::compare_verdicts() {
   // Each compares with the next three, as with the digests that gateways tell regularly.
   for (std::size_t from = 0; from < gateways_.size(); ++from) {
-    for (std::size_t offset = 1; offset <= kDigestsTold; ++offset) {
+    for (std::size_t offset = 1; offset <= kDigestRecipients; ++offset) {
       const std::size_t to = (from + offset) % gateways_.size();
-      if (to == from || cut_off_.contains(from) || cut_off_.contains(to)) continue;
+      if (to == from || isolated_.contains(from) || isolated_.contains(to)) continue;
       const std::uint64_t theirs = gateways_[from]->quarantine.verdict_digest(now_);
       const std::uint64_t own = gateways_[to]->quarantine.verdict_digest(now_);
       if (!gateways_[to]->pull.should_request(from, theirs, own, now_)) continue;
@@ -230,53 +231,53 @@
   }
 }
 
-void CrashWorld::ask_ordinary() {
-  if (draw(0, 1) >= options_.ordinary_per_s * to_seconds(kStep)) return;
+void CrashSimulation::send_ordinary_requests() {
+  if (draw(0, 1) >= options_.ordinary_requests_per_s * to_seconds(kStep)) return;
   const auto gateway = static_cast<std::size_t>(draw(0, static_cast<double>(gateways_.size())));
-  ask_as(gateway, {"ordinary " + std::to_string(next_ordinary_++), kOrdinaryRetries});
+  start_request(gateway, {"ordinary " + std::to_string(next_ordinary_++), kOrdinaryRetries});
 }
 
-void CrashWorld::come_again() {
-  std::vector<Return> due;
-  std::erase_if(returns_, [&](const Return& entry) {
+void CrashSimulation::send_due_retries() {
+  std::vector<ScheduledRetry> due;
+  std::erase_if(retries_, [&](const ScheduledRetry& entry) {
     if (entry.at > now_) return false;
     due.push_back(entry);
     return true;
   });
-  for (const Return& entry : due) {
+  for (const ScheduledRetry& entry : due) {
     const auto gateway = static_cast<std::size_t>(draw(0, static_cast<double>(gateways_.size())));
-    ask_as(gateway, entry.asked);
+    start_request(gateway, entry.sent);
   }
 }
 
-void CrashWorld::ask_as(std::size_t index, const Asked& asked) {
-  const std::string& body = asked.body;
+void CrashSimulation::start_request(std::size_t index, const SentRequest& sent) {
+  const std::string& body = sent.body;
   Gateway& gateway = *gateways_[index];
   const RequestNumber number = gateway.next++;
-  gateway.asked[number] = asked;
-  ++(killer_bodies_.contains(body) ? killers_ : ordinary_).asked;
-  RequestMetadata facts;
-  facts.id = body + "/" + std::to_string(number);
-  facts.host = "api.example";
-  facts.target = "/chat/1";
-  facts.content = fingerprint_content("POST", facts.host, facts.target, body);
-  facts.api_key = "key-1";
-  facts.time_left = seconds(6);
-  facts.model = "m";
-  facts.prompt_tokens = 500;
+  gateway.sent[number] = sent;
+  ++(crashing_bodies_.contains(body) ? crashing_ : ordinary_).sent;
+  RequestMetadata metadata;
+  metadata.id = body + "/" + std::to_string(number);
+  metadata.host = "api.example";
+  metadata.target = "/chat/1";
+  metadata.content = fingerprint_content("POST", metadata.host, metadata.target, body);
+  metadata.api_key = "key-1";
+  metadata.time_left = seconds(6);
+  metadata.model = "m";
+  metadata.prompt_tokens = 500;
   ForwarderActions actions;
-  gateway.forwarder.on_request(number, facts, now_, actions);
-  carry_out(index, actions);
+  gateway.forwarder.on_request(number, metadata, now_, actions);
+  execute_actions(index, actions);
 }
 
 // ---- engines ----
 
-void CrashWorld::advance(Engine& engine) {
-  if (!engine.powered && now_ >= engine.power_back_at) {
+void CrashSimulation::advance(Engine& engine) {
+  if (!engine.powered && now_ >= engine.power_restored_at) {
     engine.powered = true;
-    engine.back_at = now_ + kDownFor;
+    engine.restarts_at = now_ + kRestartTime;
   }
-  if (engine.powered && !engine.up && now_ >= engine.back_at) bring_back(engine);
+  if (engine.powered && !engine.up && now_ >= engine.restarts_at) restart_engine(engine);
   if (engine.powered && steps_ % kStepsPerReport == 0) report(engine);
   const std::vector<Run> before = engine.runs;
   for (const Run& seen : before) {
@@ -293,47 +294,47 @@
   }
 }
 
-void CrashWorld::begin(Engine& engine, Run& run) {
+void CrashSimulation::begin(Engine& engine, Run& run) {
   run.begun = true;
-  if (killer_bodies_.contains(run.body)) {
-    ends_[run.body].push_back(now_);
-    end_engine(engine);
+  if (crashing_bodies_.contains(run.body)) {
+    crashes_[run.body].push_back(now_);
+    crash_engine(engine);
     return;
   }
   Gateway& gateway = *gateways_[run.gateway];
-  ResponseMetadata facts;
-  facts.status = 200;
-  facts.success = true;
+  ResponseMetadata metadata;
+  metadata.status = 200;
+  metadata.success = true;
   const Run begun = run;
-  gateway.forwarder.on_response_head(begun.request, facts, true, now_);
+  gateway.forwarder.on_response_head(begun.request, metadata, true, now_);
   ForwarderActions actions;
   gateway.forwarder.on_response_body(begun.request, "id: 1\ndata: first\n\n", now_, actions);
-  carry_out(begun.gateway, actions);
+  execute_actions(begun.gateway, actions);
 }
 
-void CrashWorld::finish(const Run& run) {
+void CrashSimulation::finish(const Run& run) {
   ForwarderActions actions;
   gateways_[run.gateway]->forwarder.on_response_complete(run.request, now_, actions);
-  carry_out(run.gateway, actions);
+  execute_actions(run.gateway, actions);
 }
 
-void CrashWorld::end_engine(Engine& engine) {
+void CrashSimulation::crash_engine(Engine& engine) {
   engine.up = false;
-  engine.back_at = now_ + kDownFor;
-  const std::vector<Run> broken = std::move(engine.runs);
+  engine.restarts_at = now_ + kRestartTime;
+  const std::vector<Run> interrupted = std::move(engine.runs);
   engine.runs.clear();
-  for (const Run& run : broken) {
+  for (const Run& run : interrupted) {
     ForwarderActions actions;
     gateways_[run.gateway]->forwarder.on_attempt_failed(
         run.request, AttemptFailure::connection_lost, now_, actions);
-    carry_out(run.gateway, actions);
+    execute_actions(run.gateway, actions);
   }
 }
 
-void CrashWorld::bring_back(Engine& engine) {
+void CrashSimulation::restart_engine(Engine& engine) {
   const std::string old = engine.id;
-  ++engine.life;
-  engine.id = "e" + std::to_string(engine.address.port) + "-" + std::to_string(engine.life);
+  ++engine.incarnation;
+  engine.id = "e" + std::to_string(engine.address.port) + "-" + std::to_string(engine.incarnation);
   engine.up = true;
   for (const auto& gateway : gateways_) {
     gateway->pool.on_removed(old, ++revision_, now_);
@@ -342,20 +343,20 @@
   report(engine);
 }
 
-void CrashWorld::report(const Engine& engine) {
+void CrashSimulation::report(const Engine& engine) {
   LoadReport load;
   load.alive = engine.up;
   load.running = static_cast<std::uint32_t>(engine.runs.size());
   load.weight_version = engine.up ? 1 : 0;
   load.credit = engine.up && load.running < kSlots ? 4 : 0;
-  load.started_at_ms = engine.up ? 1000 + engine.life : 0;
+  load.started_at_ms = engine.up ? 1000 + engine.incarnation : 0;
   for (const auto& gateway : gateways_) {
     const auto ended = gateway->pool.on_report(engine.address, load, now_);
     if (ended) gateway->forwarder.on_backend_ended(*ended, now_);
   }
 }
 
-std::size_t CrashWorld::quarantined_at(const std::string& body) const {
+std::size_t CrashSimulation::quarantined_at(const std::string& body) const {
   const auto content = fingerprint_content("POST", "api.example", "/chat/1", body);
   const RequestFingerprint request = fingerprint_for(content, "acme");
   return static_cast<std::size_t>(std::count_if(
@@ -363,74 +364,75 @@
       [&](const auto& gateway) { return gateway->quarantine.quarantined(request, now_); }));
 }
 
-const RequestQuarantine& CrashWorld::quarantine(std::size_t gateway) const {
+const RequestQuarantine& CrashSimulation::quarantine(std::size_t gateway) const {
   return gateways_[gateway]->quarantine;
 }
 
 // ---- what gateways do ----
 
-void CrashWorld::carry_out(std::size_t index, ForwarderActions& actions) {
+void CrashSimulation::execute_actions(std::size_t index, ForwarderActions& actions) {
   const ForwarderActions now = std::move(actions);
   actions.clear();
   for (const ForwarderAction& action : now) {
     if (const auto* send = std::get_if<SendToBackend>(&action)) {
       submit(index, *send);
     } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
-      withdraw(index, cancel->request);
+      cancel_run(index, cancel->request);
     } else if (const auto* end = std::get_if<EndResponse>(&action)) {
-      note_end(index, end->request, &CrashResults::served);
+      record_outcome(index, end->request, &CrashResults::served);
     } else if (const auto* cut = std::get_if<AbortResponse>(&action)) {
-      note_end(index, cut->request, &CrashResults::broken_off);
+      record_outcome(index, cut->request, &CrashResults::failed);
     } else if (const auto* refusal = std::get_if<SendRefusal>(&action)) {
       const bool quarantined = std::string_view(to_string(refusal->reason)) == "quarantined";
-      const bool failed = refusal->reason == RefusalReason::backend_failed;
-      note_end(index, refusal->request,
-               quarantined ? &CrashResults::quarantined
-               : failed    ? &CrashResults::broken_off
-                           : &CrashResults::refused);
+      const bool attempt_failed = refusal->reason == RefusalReason::backend_failed;
+      record_outcome(index, refusal->request,
+                     quarantined      ? &CrashResults::quarantined
+                     : attempt_failed ? &CrashResults::failed
+                                      : &CrashResults::refused);
     }
   }
 }
 
-void CrashWorld::submit(std::size_t index, const SendToBackend& send) {
+void CrashSimulation::submit(std::size_t index, const SendToBackend& send) {
   Gateway& gateway = *gateways_[index];
   Engine& engine = engines_[send.address.port - 1U];
   if (!engine.up || engine.id != send.backend) {
     ForwarderActions actions;
     gateway.forwarder.on_attempt_failed(send.request, AttemptFailure::not_sent, now_, actions);
-    carry_out(index, actions);
+    execute_actions(index, actions);
     return;
   }
   gateway.forwarder.on_connected(send.request);
   Run run;
   run.gateway = index;
   run.request = send.request;
-  run.body = gateway.asked.at(send.request).body;
-  run.begins_at = now_ + kCrashAfter + milliseconds(static_cast<std::int64_t>(draw(0, 200)));
+  run.body = gateway.sent.at(send.request).body;
+  run.begins_at = now_ + kCrashDelay + milliseconds(static_cast<std::int64_t>(draw(0, 200)));
   run.ends_at = run.begins_at + milliseconds(static_cast<std::int64_t>(draw(500, 1500)));
   engine.runs.push_back(run);
 }
 
-void CrashWorld::withdraw(std::size_t index, RequestNumber request) {
+void CrashSimulation::cancel_run(std::size_t index, RequestNumber request) {
   for (Engine& engine : engines_) {
     std::erase_if(engine.runs,
                   [&](const Run& run) { return run.gateway == index && run.request == request; });
   }
 }
 
-void CrashWorld::note_end(std::size_t index, RequestNumber request, int CrashResults::*outcome) {
+void CrashSimulation::record_outcome(std::size_t index, RequestNumber request,
+                                     int CrashResults::*outcome) {
   Gateway& gateway = *gateways_[index];
-  const auto found = gateway.asked.find(request);
-  if (found == gateway.asked.end()) return;
-  const Asked asked = found->second;
-  gateway.asked.erase(found);
+  const auto found = gateway.sent.find(request);
+  if (found == gateway.sent.end()) return;
+  const SentRequest sent = found->second;
+  gateway.sent.erase(found);
   // By way of a reference: with a pointer to member on the conditional itself, GCC 12 counts in a
   // copy.
-  CrashResults& results = killer_bodies_.contains(asked.body) ? killers_ : ordinary_;
+  CrashResults& results = crashing_bodies_.contains(sent.body) ? crashing_ : ordinary_;
   ++(results.*outcome);
-  if (asked.tries_left == 0 || outcome == &CrashResults::served) return;
-  const Asked again{asked.body, asked.tries_left - 1};
-  returns_.push_back({now_ + milliseconds(static_cast<std::int64_t>(draw(200, 800))), again});
+  if (sent.retries_left == 0 || outcome == &CrashResults::served) return;
+  const SentRequest again{sent.body, sent.retries_left - 1};
+  retries_.push_back({now_ + milliseconds(static_cast<std::int64_t>(draw(200, 800))), again});
 }
 
 }  // namespace pumicemast::tests
--- a/tests/support/crash_world.h
+++ b/tests/support/crash_simulation.h
@@ -18,61 +18,61 @@
 
 namespace pumicemast::tests {
 
-struct CrashWorldOptions {
+struct CrashSimulationOptions {
   std::size_t zones = 3;
   std::size_t gateways_per_zone = 2;
   std::size_t engines_per_zone = 4;
   std::uint32_t seed = 1;
-  double ordinary_per_s = 60;  ///< Requests that end no engine.
-  std::uint32_t attempts = 2;  ///< Of the route.
+  double ordinary_requests_per_s = 60;  ///< Requests that end no engine.
+  std::uint32_t attempts = 2;           ///< Of the route.
 };
 
 /// What became of the requests of a play.
 struct CrashResults {
-  int asked = 0;
+  int sent = 0;
   int served = 0;
-  int broken_off = 0;   ///< Failed, or cut in the middle.
+  int failed = 0;       ///< Failed, or cut in the middle.
   int quarantined = 0;  ///< Refused because engines ended under them.
   int refused = 0;      ///< For any other reason.
 };
 
-class CrashWorld {
+class CrashSimulation {
  public:
   /// From an engine's end until it is back.
-  static constexpr Duration kDownFor = milliseconds(2500);
+  static constexpr Duration kRestartTime = milliseconds(2500);
 
-  explicit CrashWorld(const CrashWorldOptions& options);
-  ~CrashWorld();
+  explicit CrashSimulation(const CrashSimulationOptions& options);
+  ~CrashSimulation();
 
   /// From now on a request of this body comes again and again: 0.2 to 0.8 s after its last try
   /// ended, at any gateway. Whatever engine begins it ends.
   /// @param tries  that many callers send it at a time.
-  void send_killer(const std::string& body, int tries = 1);
+  void send_crashing_request(const std::string& body, int callers = 1);
   /// All engines and agents of the zone lose power, and are back after `length`.
   void lose_power(std::size_t zone, Duration length);
   /// Engines end on their own, agents live on.
-  void end_engines(std::size_t zone);
+  void crash_engines(std::size_t zone);
   /// The gateway's process is another one, which knows nothing.
   void restart_gateway(std::size_t gateway);
   /// The gateway hears nothing from other gateways, and they nothing from it.
-  void cut_off_gateway(std::size_t gateway) { cut_off_.insert(gateway); }
-  void reconnect_gateway(std::size_t gateway) { cut_off_.erase(gateway); }
+  void isolate_gateway(std::size_t gateway) { isolated_.insert(gateway); }
+  void reconnect_gateway(std::size_t gateway) { isolated_.erase(gateway); }
   /// One request of this body at this gateway.
   /// @return its number there.
-  RequestNumber ask(std::size_t gateway, const std::string& body);
+  RequestNumber send_request(std::size_t gateway, const std::string& body);
 
   void run(Duration span);
 
   TimePoint now() const { return now_; }
   /// Engines that ended because they began this body.
-  int engines_ended_by(const std::string& body) const;
+  int engines_crashed_by(const std::string& body) const;
   /// The moments of these ends.
-  const std::vector<TimePoint>& ends_by(const std::string& body) { return ends_[body]; }
+  const std::vector<TimePoint>& crashes_by(const std::string& body) { return crashes_[body]; }
   const CrashResults& ordinary() const { return ordinary_; }
-  const CrashResults& killers() const { return killers_; }
+  const CrashResults& crashing() const { return crashing_; }
   std::size_t gateways() const { return gateways_.size(); }
   /// What gateways have told each other of crashes.
-  std::size_t bytes_told() const { return bytes_told_; }
+  std::size_t gossip_bytes() const { return gossip_bytes_; }
   /// Gateways at which the request is in quarantine.
   std::size_t quarantined_at(const std::string& body) const;
   const RequestQuarantine& quarantine(std::size_t gateway) const;
@@ -90,52 +90,52 @@
     std::size_t zone = 0;
     Address address;
     std::string id;
-    int life = 1;
+    int incarnation = 1;
     bool up = true;
     bool powered = true;
-    TimePoint back_at{};
-    TimePoint power_back_at{};
+    TimePoint restarts_at{};
+    TimePoint power_restored_at{};
     std::vector<Run> runs;
   };
-  struct Asked {
+  struct SentRequest {
     std::string body;
-    int tries_left = 0;  ///< So often its caller sends it again after it was not served.
+    int retries_left = 0;  ///< So often its caller sends it again after it was not served.
   };
   struct Gateway;
   struct Message {
     std::size_t to = 0;
-    CrashUpdate news;
+    CrashUpdate update;
   };
-  struct Return {
+  struct ScheduledRetry {
     TimePoint at{};
-    Asked asked;
+    SentRequest sent;
   };
 
   std::unique_ptr<Gateway> start_gateway(std::size_t zone, std::uint64_t seed);
   void list_engine(Gateway& gateway, const Engine& engine);
   void step();
   /// What a gateway tells arrives with the next step.
-  void exchange_news();
-  std::vector<std::size_t> gateways_told(std::size_t from);
-  void send(std::size_t from, std::size_t to, const CrashUpdate& news);
+  void exchange_crash_updates();
+  std::vector<std::size_t> gossip_recipients(std::size_t from);
+  void send(std::size_t from, std::size_t to, const CrashUpdate& update);
   void compare_verdicts();
-  void ask_ordinary();
-  void come_again();
-  void ask_as(std::size_t gateway, const Asked& asked);
+  void send_ordinary_requests();
+  void send_due_retries();
+  void start_request(std::size_t gateway, const SentRequest& sent);
   void advance(Engine& engine);
   void begin(Engine& engine, Run& run);
   void finish(const Run& run);
   /// Breaks off what runs there.
-  void end_engine(Engine& engine);
-  void bring_back(Engine& engine);
+  void crash_engine(Engine& engine);
+  void restart_engine(Engine& engine);
   void report(const Engine& engine);
-  void carry_out(std::size_t gateway, ForwarderActions& actions);
+  void execute_actions(std::size_t gateway, ForwarderActions& actions);
   void submit(std::size_t gateway, const SendToBackend& send);
-  void withdraw(std::size_t gateway, RequestNumber request);
-  void note_end(std::size_t gateway, RequestNumber request, int CrashResults::*outcome);
+  void cancel_run(std::size_t gateway, RequestNumber request);
+  void record_outcome(std::size_t gateway, RequestNumber request, int CrashResults::*outcome);
   double draw(double from, double to);
 
-  CrashWorldOptions options_;
+  CrashSimulationOptions options_;
   std::mt19937 random_;
   TimePoint now_{seconds(1000)};
   std::uint64_t revision_ = 0;
@@ -143,14 +143,14 @@
   std::uint64_t steps_ = 0;
   std::vector<std::unique_ptr<Gateway>> gateways_;
   std::vector<Engine> engines_;
-  std::set<std::string> killer_bodies_;
-  std::map<std::string, std::vector<TimePoint>> ends_;
-  std::vector<Return> returns_;
-  std::set<std::size_t> cut_off_;
+  std::set<std::string> crashing_bodies_;
+  std::map<std::string, std::vector<TimePoint>> crashes_;
+  std::vector<ScheduledRetry> retries_;
+  std::set<std::size_t> isolated_;
   std::vector<Message> messages_;
-  std::size_t bytes_told_ = 0;
+  std::size_t gossip_bytes_ = 0;
   CrashResults ordinary_;
-  CrashResults killers_;
+  CrashResults crashing_;
 };
 
 }  // namespace pumicemast::tests
--- a/tests/support/fleet_start_world.h
+++ b/tests/support/fleet_start_simulation.h
@@ -11,9 +11,9 @@
 namespace pumicemast::tests {
 
 /// How a process that starts learns the list.
-enum class StartReading {
-  contact,    ///< One gateway of a zone reads it for the others, as in production.
-  each_alone  ///< All gateways and agents read it from the store.
+enum class StartupListSource {
+  contact,      ///< One gateway of a zone reads it for the others, as in production.
+  object_store  ///< All gateways and agents read it from the store.
 };
 
 struct FleetStartSetup {
@@ -25,25 +25,25 @@
   std::size_t configuration_bytes = 5'000;
   double region_mbit_per_s = 22;
   Duration store_delay = milliseconds(4);  ///< Of each answer.
-  Duration start_spread = milliseconds(300);
+  Duration start_jitter = milliseconds(300);
   /// A configuration is published so long after the start.
   Duration change_after = seconds(4);
   /// The zone's contact stops sending so long after the start; zero for never.
   Duration contact_hangs_after = Duration::zero();
-  StartReading reading = StartReading::contact;
+  StartupListSource list_source = StartupListSource::contact;
   std::uint32_t seed = 1;
 };
 
 struct FleetStartOutcome {
   /// From the start until the last gateway has the list; the longest run where one never has it.
-  Duration list_at_last = Duration::zero();
+  Duration list_propagation_time = Duration::zero();
   /// From the publication until the last gateway has the configuration in force.
-  Duration change_in_force = Duration::zero();
+  Duration change_propagation_time = Duration::zero();
   double megabytes_from_store_to_other_regions = 0;
   /// Copies of the whole list that the store sent.
   std::size_t lists_read = 0;
   /// Gateways that read the store at the end, in the zone with most of them.
-  std::size_t most_readers = 0;
+  std::size_t max_readers_per_zone = 0;
 };
 
 /// Runs until ten seconds after the publication.
--- a/tests/support/gateway_world.h
+++ b/tests/support/gateway_harness.h
@@ -10,9 +10,9 @@
 
 namespace pumicemast::tests {
 
-class GatewayWorld {
+class GatewayHarness {
  public:
-  GatewayWorld()
+  GatewayHarness()
       : targets(seconds(7)),
         pool(pool_options()),
         forwarder(pool, targets, quarantine, ForwarderOptions{}) {}
@@ -58,8 +58,8 @@
   }
 
   /// A fresh report of an engine.
-  void report(std::uint16_t port, std::uint32_t credit, std::uint64_t weights,
-              std::uint32_t running = 0) {
+  void report_load(std::uint16_t port, std::uint32_t credit, std::uint64_t weights,
+                   std::uint32_t running = 0) {
     LoadReport load;
     load.alive = true;
     load.credit = credit;
@@ -73,21 +73,21 @@
     configure();
     add_backend("e1", "engines", 1, 1);
     add_backend("e2", "engines", 2, 1);
-    report(1, 4, 1);
-    report(2, 4, 1);
+    report_load(1, 4, 1);
+    report_load(2, 4, 1);
   }
   /// An engine without room, and a gateway that knows how long callers usually wait.
   void add_busy_engine() {
     configure();
-    for (int count = 0; count < 30; ++count) ask("/chat/1");
-    tick(milliseconds(100));
+    for (int count = 0; count < 30; ++count) send_request("/chat/1");
+    advance(milliseconds(100));
     now += seconds(1);
     add_backend("e1", "engines", 1, 1);
-    report(1, 0, 1, 4);
+    report_load(1, 0, 1, 4);
   }
 
-  RequestNumber ask(const std::string& target, const std::string& key = "key-1",
-                    Duration time_left = seconds(6)) {
+  RequestNumber send_request(const std::string& target, const std::string& key = "key-1",
+                             Duration time_left = seconds(6)) {
     RequestMetadata request;
     request.id = "r" + std::to_string(++number);
     request.host = "api.example";
@@ -102,36 +102,36 @@
     return number;
   }
 
-  void head(RequestNumber request, int status, bool not_run = false, bool events = false) {
-    ResponseMetadata facts;
-    facts.status = status;
-    facts.not_run = not_run;
-    facts.success = status >= 200 && status < 300;
+  void receive_head(RequestNumber request, int status, bool not_run = false, bool events = false) {
+    ResponseMetadata metadata;
+    metadata.status = status;
+    metadata.not_run = not_run;
+    metadata.success = status >= 200 && status < 300;
     actions.clear();
     forwarder.on_connected(request);
-    forwarder.on_response_head(request, facts, events, now);
+    forwarder.on_response_head(request, metadata, events, now);
   }
-  void body(RequestNumber request, const std::string& bytes) {
+  void receive_body(RequestNumber request, const std::string& bytes) {
     actions.clear();
     forwarder.on_response_body(request, bytes, now, actions);
   }
-  void complete(RequestNumber request) {
+  void complete_response(RequestNumber request) {
     actions.clear();
     forwarder.on_response_complete(request, now, actions);
   }
-  void fail(RequestNumber request, AttemptFailure failure) {
+  void fail_attempt(RequestNumber request, AttemptFailure failure) {
     actions.clear();
     forwarder.on_attempt_failed(request, failure, now, actions);
   }
-  void tick(Duration later) {
-    now += later;
+  void advance(Duration span) {
+    now += span;
     actions.clear();
     forwarder.on_tick(now, actions);
   }
 
   /// The last actions' first one of a kind, or null.
   template <class Action>
-  const Action* first() const {
+  const Action* first_action() const {
     for (const ForwarderAction& action : actions) {
       if (const auto* typed = std::get_if<Action>(&action)) return typed;
     }
@@ -139,11 +139,11 @@
   }
   /// Back end of the last actions' send; empty when there is none.
   std::string sent_to() const {
-    const auto* send = first<SendToBackend>();
+    const auto* send = first_action<SendToBackend>();
     return send == nullptr ? "" : send->backend;
   }
-  int refused_with() const {
-    const auto* refusal = first<SendRefusal>();
+  int refusal_status() const {
+    const auto* refusal = first_action<SendRefusal>();
     return refusal == nullptr ? 0 : refusal->status;
   }
 
--- a/tests/support/limited_fleet.cpp
+++ b/tests/support/limited_fleet.cpp
@@ -49,21 +49,21 @@
 }  // namespace
 
 struct LimitedFleet::Gateway {
-  Gateway(std::size_t index, std::uint64_t its_life)
-      : life(its_life),
+  Gateway(std::size_t index, std::uint64_t incarnation_number)
+      : incarnation(incarnation_number),
         targets(seconds(7)),
         pool(pool_options(index)),
         forwarder(pool, targets, quarantine, ForwarderOptions{}) {
     forwarder.set_routes(std::make_shared<RouteTable>(configuration()));
   }
 
-  std::uint64_t life;
+  std::uint64_t incarnation;
   WeightTargets targets;
   BackendPool pool;
   RequestQuarantine quarantine;
   RequestForwarder forwarder;
   RequestNumber last_request = 0;
-  std::map<RequestNumber, TimePoint> asked_at;
+  std::map<RequestNumber, TimePoint> sent_at;
   std::map<std::string, PermitIssuer> local_issuers;
 };
 
@@ -84,7 +84,7 @@
   gateways_.resize(options.gateways);
   for (std::size_t index = 0; index < options.gateways; ++index) start_gateway(index);
   for (std::size_t engine = 0; engine < options.engines; ++engine) report(engine);
-  ask();
+  send_requests();
 }
 
 LimitedFleet::~LimitedFleet() = default;
@@ -93,9 +93,9 @@
 
 void LimitedFleet::at_gateway(std::size_t index, Duration delay,
                               const std::function<void(Gateway&)>& event) {
-  const std::uint64_t life = gateways_[index]->life;
-  after(delay, [this, index, life, event] {
-    if (gateways_[index]->life != life) return;
+  const std::uint64_t incarnation = gateways_[index]->incarnation;
+  after(delay, [this, index, incarnation, event] {
+    if (gateways_[index]->incarnation != incarnation) return;
     const auto frozen = frozen_until_.find(index);
     if (frozen != frozen_until_.end() && now_ < frozen->second) {
       at_gateway(index, frozen->second - now_, event);
@@ -105,13 +105,13 @@
   });
 }
 
-Duration LimitedFleet::transit() {
+Duration LimitedFleet::network_delay() {
   std::uniform_int_distribution<std::int64_t> microseconds(1000, 6000);
   return Duration(microseconds(random_));
 }
 
 void LimitedFleet::start_gateway(std::size_t index) {
-  gateways_[index] = std::make_unique<Gateway>(index, ++lives_);
+  gateways_[index] = std::make_unique<Gateway>(index, ++incarnations_);
   for (std::size_t engine = 0; engine < engines_.size(); ++engine) {
     BackendRecord record;
     record.id = engine_id(engine);
@@ -124,7 +124,7 @@
     record.weight_version = 1;
     gateways_[index]->pool.on_record(record);
     // Its subscription is answered at once.
-    if (!cut_off_.contains(index)) tell_load(engine, index);
+    if (!isolated_.contains(index)) send_load_report(engine, index);
   }
   tick(index);
 }
@@ -145,12 +145,13 @@
   restarted.limited = false;
   restarted.issuer.on_restarted(now_);
   for (std::size_t index = 0; index < gateways_.size(); ++index) {
-    at_gateway(index, transit(), [engine, life = restarted.started_at_ms](Gateway& gateway) {
-      BackendRecord record = *gateway.pool.record_of(engine_id(engine));
-      record.started_at_ms = life;
-      record.revision = static_cast<std::uint64_t>(life);
-      gateway.pool.on_record(record);
-    });
+    at_gateway(index, network_delay(),
+               [engine, incarnation = restarted.started_at_ms](Gateway& gateway) {
+                 BackendRecord record = *gateway.pool.record_of(engine_id(engine));
+                 record.started_at_ms = incarnation;
+                 record.revision = static_cast<std::uint64_t>(incarnation);
+                 gateway.pool.on_record(record);
+               });
   }
 }
 
@@ -171,23 +172,23 @@
                                         [since](TimePoint at) { return at >= since; }));
 }
 
-int LimitedFleet::most_in_a_window(std::size_t engine, TimePoint since) const {
+int LimitedFleet::max_arrivals_in_window(std::size_t engine, TimePoint since) const {
   std::deque<TimePoint> window;
-  std::size_t most = 0;
+  std::size_t maximum = 0;
   for (const TimePoint at : engines_[engine]->arrivals) {
     if (at < since) continue;
     window.push_back(at);
     while (at - window.front() >= kWindow) window.pop_front();
-    most = std::max(most, window.size());
+    maximum = std::max(maximum, window.size());
   }
-  return static_cast<int>(most);
+  return static_cast<int>(maximum);
 }
 
 // ---- callers ----
 
-void LimitedFleet::ask() {
+void LimitedFleet::send_requests() {
   std::exponential_distribution<double> pause_s(options_.requests_per_s);
-  after(from_seconds(pause_s(random_)), [this] { ask(); });
+  after(from_seconds(pause_s(random_)), [this] { send_requests(); });
   std::uniform_int_distribution<std::size_t> any(0, gateways_.size() - 1);
   const std::size_t index = any(random_);
   const auto frozen = frozen_until_.find(index);
@@ -195,8 +196,8 @@
   if (frozen != frozen_until_.end() && now_ < frozen->second) return;
   Gateway& gateway = *gateways_[index];
   const RequestNumber number = ++gateway.last_request;
-  gateway.asked_at[number] = now_;
-  ++results_.asked;
+  gateway.sent_at[number] = now_;
+  ++results_.sent;
   RequestMetadata request;
   request.id = std::to_string(number);
   request.host = "api.example";
@@ -207,39 +208,39 @@
   request.prompt_tokens = 100;
   ForwarderActions actions;
   gateway.forwarder.on_request(number, request, now_, actions);
-  carry_out(index, gateway, actions);
+  execute_actions(index, gateway, actions);
 }
 
 void LimitedFleet::tick(std::size_t index) {
   at_gateway(index, kTickInterval, [this, index](Gateway& gateway) {
     ForwarderActions actions;
     gateway.forwarder.on_tick(now_, actions);
-    carry_out(index, gateway, actions);
+    execute_actions(index, gateway, actions);
     tick(index);
   });
 }
 
-void LimitedFleet::carry_out(std::size_t index, Gateway& gateway, ForwarderActions& actions) {
+void LimitedFleet::execute_actions(std::size_t index, Gateway& gateway, ForwarderActions& actions) {
   for (const ForwarderAction& action : actions) {
-    if (const auto* sent = std::get_if<SendToBackend>(&action)) send(index, *sent);
+    if (const auto* submission = std::get_if<SendToBackend>(&action)) send(index, *submission);
     if (std::get_if<EndResponse>(&action) != nullptr) ++results_.served;
     if (const auto* refusal = std::get_if<SendRefusal>(&action)) {
       const bool limited = refusal->reason == RefusalReason::rate_limited;
       ++(limited ? results_.rate_limited : results_.refused);
-      results_.longest_refusal =
-          std::max(results_.longest_refusal, now_ - gateway.asked_at[refusal->request]);
+      results_.max_refusal_delay =
+          std::max(results_.max_refusal_delay, now_ - gateway.sent_at[refusal->request]);
     }
   }
   actions.clear();
   gateway.forwarder.take_summaries();
-  tell_limits(index, gateway);
+  report_limits(index, gateway);
   if (gateway.forwarder.waiting() == 0) gateway.pool.permits().release_unused();
   exchange_permits(index, gateway);
 }
 
 // ---- permits ----
 
-void LimitedFleet::tell_limits(std::size_t index, Gateway& gateway) {
+void LimitedFleet::report_limits(std::size_t index, Gateway& gateway) {
   for (const LimitChange& change : gateway.pool.limits().take_changes()) {
     gateway.pool.permits().on_limit_changed(change.backend);
     if (change.source != LimitSource::answer) continue;
@@ -258,15 +259,16 @@
                                 0,
                                 gateway.pool.limits().limit_of(call.backend),
                                 call.given_back,
-                                gateway.life};
+                                gateway.incarnation};
     if (options_.sharing == LimitSharing::issuer) {
       send_to_issuer(index, gateway, request);
       continue;
     }
     const PermitAnswer answer = issue_locally(index, gateway, request);
     if (!request.wanted) continue;
-    at_gateway(index, Duration::zero(),
-               [this, index, answer](Gateway& asker) { on_permit_answer(index, asker, answer); });
+    at_gateway(index, Duration::zero(), [this, index, answer](Gateway& requester) {
+      on_permit_answer(index, requester, answer);
+    });
   }
 }
 
@@ -286,20 +288,22 @@
                                   const PermitRequest& request) {
   if (options_.sharing != LimitSharing::issuer) return;
   ++permit_messages_;
-  if (cut_off_.contains(index)) return;
+  if (isolated_.contains(index)) return;
   const std::size_t engine = std::stoul(request.backend.substr(1));
-  const std::uint64_t life = gateway.life;
-  after(transit(), [this, index, engine, life, request] {
+  const std::uint64_t incarnation = gateway.incarnation;
+  after(network_delay(), [this, index, engine, incarnation, request] {
     PermitIssuer& issuer = engines_[engine]->issuer;
     const PermitAnswer answer = issuer.on_request(request, now_);
     if (issuer.take_changed()) {
-      for (std::size_t other = 0; other < gateways_.size(); ++other) tell_load(engine, other);
+      for (std::size_t other = 0; other < gateways_.size(); ++other)
+        send_load_report(engine, other);
     }
-    if (!request.wanted || cut_off_.contains(index)) return;
-    if (gateways_[index]->life != life) return;
+    if (!request.wanted || isolated_.contains(index)) return;
+    if (gateways_[index]->incarnation != incarnation) return;
     ++permit_messages_;
-    at_gateway(index, transit(),
-               [this, index, answer](Gateway& asker) { on_permit_answer(index, asker, answer); });
+    at_gateway(index, network_delay(), [this, index, answer](Gateway& requester) {
+      on_permit_answer(index, requester, answer);
+    });
   });
 }
 
@@ -309,64 +313,64 @@
   gateway.pool.limits().on_reported(answer.backend, answer.limit, LimitSource::agent);
   ForwarderActions actions;
   gateway.forwarder.on_capacity(now_, actions);
-  carry_out(index, gateway, actions);
+  execute_actions(index, gateway, actions);
 }
 
 // ---- engines ----
 
 void LimitedFleet::report(std::size_t engine) {
-  for (std::size_t index = 0; index < gateways_.size(); ++index) tell_load(engine, index);
+  for (std::size_t index = 0; index < gateways_.size(); ++index) send_load_report(engine, index);
   after(kReportInterval, [this, engine] { report(engine); });
 }
 
-void LimitedFleet::tell_load(std::size_t engine, std::size_t index) {
-  if (cut_off_.contains(index)) return;
-  const Engine& told = *engines_[engine];
+void LimitedFleet::send_load_report(std::size_t engine, std::size_t index) {
+  if (isolated_.contains(index)) return;
+  const Engine& reporting = *engines_[engine];
   LoadReport load;
   load.alive = true;
-  load.running = told.running;
+  load.running = reporting.running;
   load.weight_version = 1;
-  load.credit = told.issuer.limit().is_limited() ? 0 : 4;
+  load.credit = reporting.issuer.limit().is_limited() ? 0 : 4;
   load.gateways = static_cast<std::uint32_t>(gateways_.size());
-  load.started_at_ms = told.started_at_ms;
-  if (options_.sharing == LimitSharing::issuer) load.limit = told.issuer.limit();
-  at_gateway(index, transit(), [this, index, engine, load](Gateway& gateway) {
+  load.started_at_ms = reporting.started_at_ms;
+  if (options_.sharing == LimitSharing::issuer) load.limit = reporting.issuer.limit();
+  at_gateway(index, network_delay(), [this, index, engine, load](Gateway& gateway) {
     gateway.pool.on_report(engine_address(engine), load, now_);
     ForwarderActions actions;
     gateway.forwarder.on_capacity(now_, actions);
-    carry_out(index, gateway, actions);
+    execute_actions(index, gateway, actions);
   });
 }
 
 void LimitedFleet::send(std::size_t index, const SendToBackend& action) {
   const std::size_t engine = std::stoul(action.backend.substr(1));
-  if (cut_off_.contains(index)) return;
-  after(transit(),
+  if (isolated_.contains(index)) return;
+  after(network_delay(),
         [this, index, engine, request = action.request] { on_arrival(index, engine, request); });
 }
 
 void LimitedFleet::on_arrival(std::size_t index, std::size_t engine, RequestNumber request) {
   engines_[engine]->arrivals.push_back(now_);
   ++engines_[engine]->running;
-  after(kServiceTime, [this, index, engine, request] { answer(index, engine, request); });
+  after(kServiceTime, [this, index, engine, request] { respond(index, engine, request); });
 }
 
-void LimitedFleet::answer(std::size_t index, std::size_t engine, RequestNumber request) {
+void LimitedFleet::respond(std::size_t index, std::size_t engine, RequestNumber request) {
   Engine& from = *engines_[engine];
   --from.running;
-  if (cut_off_.contains(index)) return;
-  ResponseMetadata facts;
-  facts.status = 200;
-  facts.success = true;
-  if (from.limited) facts.rate_limit.per_second = limit_;
-  at_gateway(index, transit(), [this, index, request, facts](Gateway& gateway) {
+  if (isolated_.contains(index)) return;
+  ResponseMetadata metadata;
+  metadata.status = 200;
+  metadata.success = true;
+  if (from.limited) metadata.rate_limit.per_second = limit_;
+  at_gateway(index, network_delay(), [this, index, request, metadata](Gateway& gateway) {
     gateway.forwarder.on_connected(request);
-    gateway.forwarder.on_response_head(request, facts, false, now_);
+    gateway.forwarder.on_response_head(request, metadata, false, now_);
     ForwarderActions actions;
     gateway.forwarder.on_response_body(request, "answer", now_, actions);
     gateway.forwarder.on_response_complete(request, now_, actions);
     gateway.forwarder.on_capacity(now_, actions);
-    carry_out(index, gateway, actions);
+    execute_actions(index, gateway, actions);
   });
 }
 
--- a/tests/support/limited_fleet.h
+++ b/tests/support/limited_fleet.h
@@ -23,7 +23,7 @@
 /// Who holds the sum over all gateways.
 enum class LimitSharing {
   issuer,        ///< One issuer a back end, as in production.
-  each_alone,    ///< Nobody: each gateway keeps the whole limit.
+  none,          ///< Nobody: each gateway keeps the whole limit.
   equal_shares,  ///< Each gateway keeps its part by their number.
   one_gateway,   ///< The first gateway keeps the whole limit, the others send nothing there.
 };
@@ -38,11 +38,11 @@
 };
 
 struct LimitedFleetResults {
-  int asked = 0;
+  int sent = 0;
   int served = 0;
   int rate_limited = 0;  ///< Refused for the limits.
   int refused = 0;       ///< For any other reason.
-  Duration longest_refusal = Duration::zero();
+  Duration max_refusal_delay = Duration::zero();
 };
 
 class LimitedFleet {
@@ -55,8 +55,8 @@
   /// The gateway's process stands still; what comes meanwhile it sees afterwards.
   void freeze_gateway(std::size_t gateway, Duration length);
   /// No messages between it and agents or engines.
-  void cut_off_gateway(std::size_t gateway) { cut_off_.insert(gateway); }
-  void reconnect_gateway(std::size_t gateway) { cut_off_.erase(gateway); }
+  void isolate_gateway(std::size_t gateway) { isolated_.insert(gateway); }
+  void reconnect_gateway(std::size_t gateway) { isolated_.erase(gateway); }
   /// The gateway's process is another one, which knows nothing.
   void restart_gateway(std::size_t gateway);
   /// The agent beside the engine is another one, which knows nothing.
@@ -67,7 +67,7 @@
 
   TimePoint now() const { return now_; }
   /// The most requests that reached the engine within any window of four seconds.
-  int most_in_a_window(std::size_t engine, TimePoint since) const;
+  int max_arrivals_in_window(std::size_t engine, TimePoint since) const;
   int arrived(std::size_t engine, TimePoint since) const;
   const LimitedFleetResults& results() const { return results_; }
   void reset_results() { results_ = {}; }
@@ -83,21 +83,21 @@
   void after(Duration delay, Event event) { at(now_ + delay, std::move(event)); }
   /// Runs in the gateway's process: later if it stands still, never if it was restarted meanwhile.
   void at_gateway(std::size_t gateway, Duration delay, const std::function<void(Gateway&)>& event);
-  Duration transit();
+  Duration network_delay();
   void start_gateway(std::size_t index);
-  void ask();
+  void send_requests();
   void tick(std::size_t gateway);
   void report(std::size_t engine);
-  void tell_load(std::size_t engine, std::size_t gateway);
-  void carry_out(std::size_t index, Gateway& gateway, ForwarderActions& actions);
+  void send_load_report(std::size_t engine, std::size_t gateway);
+  void execute_actions(std::size_t index, Gateway& gateway, ForwarderActions& actions);
   void exchange_permits(std::size_t index, Gateway& gateway);
-  void tell_limits(std::size_t index, Gateway& gateway);
+  void report_limits(std::size_t index, Gateway& gateway);
   void send_to_issuer(std::size_t index, Gateway& gateway, const PermitRequest& request);
   PermitAnswer issue_locally(std::size_t index, Gateway& gateway, const PermitRequest& request);
   void on_permit_answer(std::size_t index, Gateway& gateway, const PermitAnswer& answer);
   void send(std::size_t index, const SendToBackend& action);
   void on_arrival(std::size_t index, std::size_t engine, RequestNumber request);
-  void answer(std::size_t index, std::size_t engine, RequestNumber request);
+  void respond(std::size_t index, std::size_t engine, RequestNumber request);
 
   LimitedFleetOptions options_;
   TimePoint now_ = TimePoint(seconds(1000));
@@ -107,10 +107,10 @@
   std::vector<std::unique_ptr<Gateway>> gateways_;
   std::vector<std::unique_ptr<Engine>> engines_;
   std::map<std::size_t, TimePoint> frozen_until_;
-  std::set<std::size_t> cut_off_;
+  std::set<std::size_t> isolated_;
   LimitedFleetResults results_;
   std::uint64_t permit_messages_ = 0;
-  std::uint64_t lives_ = 0;
+  std::uint64_t incarnations_ = 0;
 };
 
 }  // namespace pumicemast::tests
--- a/tests/support/modelled_engine.cpp
+++ b/tests/support/modelled_engine.cpp
@@ -10,10 +10,10 @@
   std::erase_if(batch_, is_it);
 }
 
-void ModelledEngine::begin_pass(TimePoint at) {
-  double read_tokens = 0;
+void ModelledEngine::begin_pass(TimePoint start) {
+  double new_prompt_tokens = 0;
   while (batch_.size() < profile_.slots && !waiting_.empty()) {
-    read_tokens += waiting_.front().job.prompt_tokens;
+    new_prompt_tokens += waiting_.front().job.prompt_tokens;
     batch_.push_back(waiting_.front());
     waiting_.pop_front();
   }
@@ -21,8 +21,8 @@
   if (!in_pass_) return;
   const double step_ms =
       profile_.step_ms + profile_.step_ms_per_slot * static_cast<double>(batch_.size());
-  const double read_ms = read_tokens * 1000 / profile_.prompt_tokens_per_s;
-  pass_ends_ = at + from_seconds((read_ms + step_ms * profile_.steps_per_pass) / 1000);
+  const double prefill_ms = new_prompt_tokens * 1000 / profile_.prompt_tokens_per_s;
+  pass_ends_at_ = start + from_seconds((prefill_ms + step_ms * profile_.steps_per_pass) / 1000);
 }
 
 void ModelledEngine::end_pass(std::vector<EngineEvent>& events) {
@@ -39,9 +39,9 @@
 std::vector<EngineEvent> ModelledEngine::advance(TimePoint now) {
   std::vector<EngineEvent> events;
   if (!in_pass_) begin_pass(now);
-  while (in_pass_ && pass_ends_ <= now) {
+  while (in_pass_ && pass_ends_at_ <= now) {
     end_pass(events);
-    begin_pass(pass_ends_);
+    begin_pass(pass_ends_at_);
   }
   return events;
 }
--- a/tests/support/modelled_engine.h
+++ b/tests/support/modelled_engine.h
@@ -45,13 +45,13 @@
     double tokens_left = 0;
     std::uint32_t events = 0;
   };
-  void begin_pass(TimePoint at);
+  void begin_pass(TimePoint start);
   void end_pass(std::vector<EngineEvent>& events);
 
   EngineProfile profile_;
   std::deque<Entry> waiting_;
   std::vector<Entry> batch_;
-  TimePoint pass_ends_{};
+  TimePoint pass_ends_at_{};
   bool in_pass_ = false;
 };
 
--- a/tests/support/origin_outage_world.h
+++ b/tests/support/origin_outage_simulation.h
@@ -25,12 +25,12 @@
   /// Bytes on the origin's link for each byte of a chunk: heads, manifests, what is lost.
   double origin_overhead = 1;
   std::uint32_t origin_connections = 48;
-  Duration away_from = milliseconds(2500);
-  Duration away_until = milliseconds(8500);
+  Duration outage_start = milliseconds(2500);
+  Duration outage_end = milliseconds(8500);
   /// So many of the agents are replaced one after the other in the first seconds.
-  std::uint32_t replaced = 94;
-  Duration replaced_within = milliseconds(4500);
-  Duration longest_run = seconds(60);
+  std::uint32_t replaced_agents = 94;
+  Duration replacement_period = milliseconds(4500);
+  Duration max_run_time = seconds(60);
   std::uint32_t seed = 1;
 };
 
@@ -38,15 +38,15 @@
   double origin_copies = 0;     ///< Whole copies that left the origin, wasted bytes included.
   double first_complete_s = 0;  ///< After the naming; 0 when none was.
   double half_complete_s = 0;   ///< Of those alive at the end, as all below.
-  double nine_tenths_complete_s = 0;
+  double p90_complete_s = 0;
   double last_complete_s = 0;
   std::uint32_t incomplete = 0;
   std::uint64_t refused_calls = 0;
 };
 
-class OriginOutageWorld {
+class OriginOutageSimulation {
  public:
-  explicit OriginOutageWorld(const OriginOutageSettings& settings);
+  explicit OriginOutageSimulation(const OriginOutageSettings& settings);
   OriginOutageResult run();
 
  private:
@@ -69,27 +69,27 @@
   void add_agent();
   void replace_agent(std::size_t index);
   std::shared_ptr<const SwarmMembership> members() const;
-  bool origin_away() const;
+  bool origin_unreachable() const;
   void step_origin();
-  void note_completions();
+  void record_completions();
   void step_uplinks();
   void at(TimePoint time, std::function<void()> event) { events_.emplace(time, std::move(event)); }
   /// Runs something on a living agent after the network's delay.
-  void tell(PeerId peer, std::function<void(Agent&, SwarmActions&)> what);
-  void with(std::size_t index, const std::function<void(Agent&, SwarmActions&)>& what);
-  void carry_out(std::size_t index, const SwarmActions& actions);
+  void send_to(PeerId peer, std::function<void(Agent&, SwarmActions&)> task);
+  void with_agent(std::size_t index, const std::function<void(Agent&, SwarmActions&)>& task);
+  void execute_actions(std::size_t index, const SwarmActions& actions);
   void fail_origin(std::size_t index, ChunkIndex chunk);
 
-  void act(std::size_t index, const RequestFromPeer& action);
-  void act(std::size_t index, const CancelFromPeer& action);
-  void act(std::size_t index, const RequestFromOrigin& action);
-  void act(std::size_t index, const CancelFromOrigin& action);
-  void act(std::size_t index, const SendChunk& action);
-  void act(std::size_t index, const RefuseChunk& action);
-  void act(std::size_t index, const AnnounceChunks& action);
-  void act(std::size_t index, const JoinPeer& action);
-  void act(std::size_t index, const SwarmComplete&);
-  void act(std::size_t, const PeerAvoided&) {}
+  void execute(std::size_t index, const RequestFromPeer& action);
+  void execute(std::size_t index, const CancelFromPeer& action);
+  void execute(std::size_t index, const RequestFromOrigin& action);
+  void execute(std::size_t index, const CancelFromOrigin& action);
+  void execute(std::size_t index, const SendChunk& action);
+  void execute(std::size_t index, const RefuseChunk& action);
+  void execute(std::size_t index, const AnnounceChunks& action);
+  void execute(std::size_t index, const JoinPeer& action);
+  void execute(std::size_t index, const SwarmComplete&);
+  void execute(std::size_t, const PeerAvoided&) {}
 
   OriginOutageSettings settings_;
   std::minstd_rand random_;
--- a/tests/support/overload_world.cpp
+++ b/tests/support/overload_simulation.cpp
@@ -1,4 +1,4 @@
-#include "support/overload_world.h"
+#include "support/overload_simulation.h"
 
 #include <algorithm>
 #include <cmath>
@@ -7,11 +7,11 @@
 namespace {
 
 constexpr Duration kStep = milliseconds(5);
-constexpr Duration kReportEvery = milliseconds(50);
-constexpr Duration kPatience = seconds(6);
-constexpr Duration kLearningTime = seconds(4);
-constexpr double kUsualPrompt = 964;
-constexpr double kUsualAnswer = 119;
+constexpr Duration kReportInterval = milliseconds(50);
+constexpr Duration kCallerTimeout = seconds(6);
+constexpr Duration kWarmUpTime = seconds(4);
+constexpr double kUsualPromptTokens = 964;
+constexpr double kUsualAnswerTokens = 119;
 /// The shares of arrivals that the gateways get: balancers spread callers unevenly.
 constexpr double kGatewayShares[] = {0.2, 0.5, 0.3};
 
@@ -34,16 +34,17 @@
   profile.prompt_tokens_per_s = 30600;
   profile.steps_per_pass = 6;
   profile.prefill_chunk_tokens = 2048;
-  profile.usual_prompt_tokens = kUsualPrompt;
-  profile.usual_answer_tokens = kUsualAnswer;
+  profile.usual_prompt_tokens = kUsualPromptTokens;
+  profile.usual_answer_tokens = kUsualAnswerTokens;
   return profile;
 }
 
 /// Requests a second that an engine with a full batch serves.
 double capacity_of(const EngineProfile& profile) {
-  const double read_ms = profile.usual_prompt_tokens * 1000 / profile.prompt_tokens_per_s;
-  const double stay_ms = profile.usual_answer_tokens * profile.step_ms + profile.slots * read_ms;
-  return profile.slots * 1000 / stay_ms;
+  const double prefill_ms = profile.usual_prompt_tokens * 1000 / profile.prompt_tokens_per_s;
+  const double service_ms =
+      profile.usual_answer_tokens * profile.step_ms + profile.slots * prefill_ms;
+  return profile.slots * 1000 / service_ms;
 }
 
 BackendPoolOptions pool_options(std::uint64_t seed) {
@@ -61,7 +62,7 @@
 
 }  // namespace
 
-struct OverloadWorld::Gateway {
+struct OverloadSimulation::Gateway {
   explicit Gateway(std::uint64_t seed)
       : targets(seconds(7)),
         pool(pool_options(seed)),
@@ -71,36 +72,37 @@
   BackendPool pool;
   RequestQuarantine quarantine;
   RequestForwarder forwarder;
-  TimePoint refused_first_at{};
+  TimePoint first_attempt_refused_at{};
 };
 
-struct OverloadWorld::Engine {
+struct OverloadSimulation::Engine {
   explicit Engine(const EngineProfile& profile) : model(profile) {}
 
   ModelledEngine model;
-  CreditAllocator dealer;
+  CreditAllocator credit_allocator;
   Address address;
   std::string id;
 };
 
-struct OverloadWorld::Caller {
+struct OverloadSimulation::Caller {
   std::size_t kind = 0;
   std::size_t gateway = 0;
   double prompt = 0;
   double answer = 0;
-  TimePoint asked{};
-  Duration patience = kPatience;
+  TimePoint sent_at{};
+  Duration time_limit = kCallerTimeout;
   int attempts = 0;
   TimePoint first_token{};
   bool finished = false;
 };
 
-OverloadWorld::OverloadWorld(OverloadOptions options) : options_(options), random_(options.seed) {
+OverloadSimulation::OverloadSimulation(OverloadOptions options)
+    : options_(options), random_(options.seed) {
   const EngineProfile profile = true_profile();
   arrivals_per_s_ = options_.load * static_cast<double>(options_.engines) * capacity_of(profile);
-  const double believed = options_.believed_prompt_rate > 0 ? options_.believed_prompt_rate
-                                                            : profile.prompt_tokens_per_s;
-  const auto routes = std::make_shared<RouteTable>(configuration(believed));
+  const double configured = options_.configured_prompt_rate > 0 ? options_.configured_prompt_rate
+                                                                : profile.prompt_tokens_per_s;
+  const auto routes = std::make_shared<RouteTable>(configuration(configured));
   for (std::size_t index = 0; index < std::size(kGatewayShares); ++index) {
     gateways_.push_back(std::make_unique<Gateway>(options_.seed + index));
     gateways_.back()->forwarder.set_routes(routes);
@@ -119,15 +121,16 @@
     record.revision = index + 1;
     record.weight_version = 1;
     for (const auto& gateway : gateways_) gateway->pool.on_record(record);
-    for (std::size_t gateway = 0; options_.tells_demand && gateway < gateways_.size(); ++gateway) {
-      engine.dealer.set_demand(gateway, arrivals_per_s_ * kGatewayShares[gateway]);
+    for (std::size_t gateway = 0; options_.reports_demand && gateway < gateways_.size();
+         ++gateway) {
+      engine.credit_allocator.set_demand(gateway, arrivals_per_s_ * kGatewayShares[gateway]);
     }
   }
 }
 
-OverloadWorld::~OverloadWorld() = default;
+OverloadSimulation::~OverloadSimulation() = default;
 
-FleetConfiguration OverloadWorld::configuration(double prompt_rate) const {
+FleetConfiguration OverloadSimulation::configuration(double prompt_rate) const {
   FleetConfiguration result;
   result.version = 1;
   ServiceProfile service;
@@ -143,7 +146,7 @@
     route.kind = RequestKind::stream;
     route.resumable = true;
     route.is_public = true;
-    route.timeout = kPatience;
+    route.timeout = kCallerTimeout;
     route.latency_goal = milliseconds(kind.goal_ms);
     route.attempts = 2;
     route.services = {{"engines", 1}};
@@ -152,24 +155,24 @@
   return result;
 }
 
-Duration OverloadWorld::draw_gap() {
+Duration OverloadSimulation::random_arrival_gap() {
   return from_seconds(std::exponential_distribution<double>(arrivals_per_s_)(random_));
 }
 
-Duration OverloadWorld::draw_up_to(Duration longest) {
-  if (longest == Duration::zero()) return longest;
-  return Duration(std::uniform_int_distribution<Duration::rep>(0, longest.count())(random_));
+Duration OverloadSimulation::random_duration(Duration maximum) {
+  if (maximum == Duration::zero()) return maximum;
+  return Duration(std::uniform_int_distribution<Duration::rep>(0, maximum.count())(random_));
 }
 
-double OverloadWorld::draw_tokens(double mean, double spread, double most) {
+double OverloadSimulation::random_token_count(double mean, double spread, double max_tokens) {
   // A mean of the lognormal distribution is shifted by half of its variance.
   std::lognormal_distribution<double> sizes(std::log(mean) - spread * spread / 2, spread);
-  return std::clamp(sizes(random_), 16.0, most);
+  return std::clamp(sizes(random_), 16.0, max_tokens);
 }
 
-void OverloadWorld::arrive() {
+void OverloadSimulation::start_callers() {
   while (next_arrival_ <= now_) {
-    next_arrival_ += draw_gap();
+    next_arrival_ += random_arrival_gap();
     Caller caller;
     std::discrete_distribution<std::size_t> kinds(
         {kKinds[0].share, kKinds[1].share, kKinds[2].share});
@@ -177,54 +180,56 @@
                                                      std::end(kGatewayShares));
     caller.kind = kinds(random_);
     caller.gateway = gateways(random_);
-    caller.prompt = draw_tokens(kKinds[caller.kind].mean_prompt, 0.8, 3900);
-    caller.answer = draw_tokens(kUsualAnswer, 0.7, 360);
-    caller.asked = now_;
-    caller.patience = kPatience - draw_up_to(options_.patience_spread);
+    caller.prompt = random_token_count(kKinds[caller.kind].mean_prompt, 0.8, 3900);
+    caller.answer = random_token_count(kUsualAnswerTokens, 0.7, 360);
+    caller.sent_at = now_;
+    caller.time_limit = kCallerTimeout - random_duration(options_.timeout_jitter);
     callers_.push_back(caller);
-    ask(callers_.size() - 1);
+    send_request(callers_.size() - 1);
   }
 }
 
-void OverloadWorld::ask(std::uint64_t number) {
+void OverloadSimulation::send_request(std::uint64_t number) {
   Caller& caller = callers_[number];
   ++caller.attempts;
-  RequestMetadata facts;
-  facts.id = std::to_string(number);
-  facts.host = "api.example";
-  facts.target = std::string("/") + kKinds[caller.kind].name + "/1";
-  facts.time_left = caller.patience - (now_ - caller.asked);
-  facts.model = "m";
-  facts.prompt_tokens = caller.prompt;
-  facts.answer_tokens = caller.answer;
+  RequestMetadata metadata;
+  metadata.id = std::to_string(number);
+  metadata.host = "api.example";
+  metadata.target = std::string("/") + kKinds[caller.kind].name + "/1";
+  metadata.time_left = caller.time_limit - (now_ - caller.sent_at);
+  metadata.model = "m";
+  metadata.prompt_tokens = caller.prompt;
+  metadata.answer_tokens = caller.answer;
   const RequestNumber request = next_request_++;
   callers_of_requests_[request] = number;
   Gateway& gateway = *gateways_[caller.gateway];
   ForwarderActions actions;
   const std::uint64_t first_before = gateway.forwarder.counters().engine_first_attempts;
-  gateway.forwarder.on_request(request, std::move(facts), now_, actions);
-  const bool held_first = gateway.forwarder.counters().engine_first_attempts > first_before;
-  if (now_ - begin_ > kLearningTime) note_recognition(caller.attempts > 1, !held_first);
-  carry_out(gateway, actions);
+  gateway.forwarder.on_request(request, std::move(metadata), now_, actions);
+  const bool counted_as_first = gateway.forwarder.counters().engine_first_attempts > first_before;
+  if (now_ - begin_ > kWarmUpTime) record_classification(caller.attempts > 1, !counted_as_first);
+  execute_actions(gateway, actions);
 }
 
-void OverloadWorld::note_recognition(bool returned, bool held_to_return) {
-  ++(returned ? result_.returned : result_.asked_first);
-  if (held_to_return) ++(returned ? result_.recognized : result_.mistaken);
+void OverloadSimulation::record_classification(bool is_retry, bool classified_as_retry) {
+  ++(is_retry ? result_.retries : result_.first_attempts);
+  if (classified_as_retry) ++(is_retry ? result_.recognized : result_.misclassified);
 }
 
-void OverloadWorld::carry_out(Gateway& gateway, ForwarderActions& actions) {
+void OverloadSimulation::execute_actions(Gateway& gateway, ForwarderActions& actions) {
   for (const ForwarderAction& action : actions) {
     if (const auto* send = std::get_if<SendToBackend>(&action)) {
       const Caller& caller = callers_[callers_of_requests_.at(send->request)];
       gateway.forwarder.on_connected(send->request);
       engines_[send->address.port - 1U]->model.submit(
           {send->request, caller.prompt, caller.answer});
-      const bool first_refused =
-          now_ - begin_ > kLearningTime && now_ - gateway.refused_first_at < milliseconds(100);
-      if (caller.attempts > 1 && first_refused) ++result_.returns_served_while_first_refused;
+      const bool first_attempts_refused =
+          now_ - begin_ > kWarmUpTime &&
+          now_ - gateway.first_attempt_refused_at < milliseconds(100);
+      if (caller.attempts > 1 && first_attempts_refused)
+        ++result_.retries_served_while_first_refused;
     } else if (const auto* refusal = std::get_if<SendRefusal>(&action)) {
-      refuse(refusal->request, refusal->retry_after);
+      on_refusal(refusal->request, refusal->retry_after);
     } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
       for (const auto& engine : engines_) engine->model.cancel(cancel->request);
     }
@@ -232,32 +237,32 @@
   actions.clear();
 }
 
-void OverloadWorld::refuse(std::uint64_t request, Duration retry_after) {
+void OverloadSimulation::on_refusal(std::uint64_t request, Duration retry_after) {
   const std::uint64_t number = callers_of_requests_.at(request);
   Caller& caller = callers_[number];
   if (caller.attempts > 1) return;
-  gateways_[caller.gateway]->refused_first_at = now_;
-  returns_.emplace(now_ + std::max(retry_after, milliseconds(50)), number);
+  gateways_[caller.gateway]->first_attempt_refused_at = now_;
+  retries_.emplace(now_ + std::max(retry_after, milliseconds(50)), number);
 }
 
-void OverloadWorld::come_back() {
-  while (!returns_.empty() && returns_.begin()->first <= now_) {
-    const std::uint64_t number = returns_.begin()->second;
-    returns_.erase(returns_.begin());
-    ask(number);
+void OverloadSimulation::send_due_retries() {
+  while (!retries_.empty() && retries_.begin()->first <= now_) {
+    const std::uint64_t number = retries_.begin()->second;
+    retries_.erase(retries_.begin());
+    send_request(number);
   }
 }
 
-void OverloadWorld::on_event(const EngineEvent& event) {
+void OverloadSimulation::on_event(const EngineEvent& event) {
   Caller& caller = callers_[callers_of_requests_.at(event.request)];
   Gateway& gateway = *gateways_[caller.gateway];
   ForwarderActions actions;
   if (event.kind == EngineEvent::Kind::tokens) {
     if (event.number == 1) {
-      ResponseMetadata facts;
-      facts.status = 200;
-      facts.success = true;
-      gateway.forwarder.on_response_head(event.request, facts, true, now_);
+      ResponseMetadata metadata;
+      metadata.status = 200;
+      metadata.success = true;
+      gateway.forwarder.on_response_head(event.request, metadata, true, now_);
     }
     const std::string text = "id: " + std::to_string(event.number) + "\ndata: a\n\n";
     gateway.forwarder.on_response_body(event.request, text, now_, actions);
@@ -266,77 +271,77 @@
     gateway.forwarder.on_response_complete(event.request, now_, actions);
     caller.finished = true;
   }
-  carry_out(gateway, actions);
+  execute_actions(gateway, actions);
 }
 
-void OverloadWorld::work() {
+void OverloadSimulation::run_engines() {
   for (const auto& engine : engines_) {
     for (const EngineEvent& event : engine->model.advance(now_)) on_event(event);
   }
 }
 
-void OverloadWorld::pass_on_backlogs() {
+void OverloadSimulation::send_backlogs() {
   for (std::size_t gateway = 0; gateway < gateways_.size(); ++gateway) {
     for (const PromptBacklog& backlog : gateways_[gateway]->pool.take_changed_backlogs()) {
-      engines_[backlog.address.port - 1U]->dealer.set_pending_tokens(
+      engines_[backlog.address.port - 1U]->credit_allocator.set_pending_tokens(
           gateway, static_cast<std::uint32_t>(backlog.pending_tokens));
     }
   }
 }
 
-void OverloadWorld::report() {
+void OverloadSimulation::report() {
   std::vector<PeerId> peers;
   for (std::size_t gateway = 0; gateway < gateways_.size(); ++gateway) peers.push_back(gateway);
   for (const auto& engine : engines_) {
-    EngineCapacity room;
-    room.slots = true_profile().slots;
-    room.occupied = engine->model.running() + engine->model.queued();
-    room.usual_prompt_tokens = kUsualPrompt;
-    for (const auto& [gateway, credit] : engine->dealer.allocate(room, peers)) {
+    EngineCapacity capacity;
+    capacity.slots = true_profile().slots;
+    capacity.occupied = engine->model.running() + engine->model.queued();
+    capacity.usual_prompt_tokens = kUsualPromptTokens;
+    for (const auto& [gateway, credit] : engine->credit_allocator.allocate(capacity, peers)) {
       LoadReport load;
       load.alive = true;
       load.running = engine->model.running();
       load.queued = engine->model.queued();
       load.weight_version = 1;
       load.credit = credit;
-      load.others_pending_tokens = engine->dealer.pending_tokens_of_others(gateway);
+      load.others_pending_tokens = engine->credit_allocator.pending_tokens_of_others(gateway);
       gateways_[gateway]->pool.on_report(engine->address, load, now_);
     }
   }
 }
 
-void OverloadWorld::count(const Caller& caller) {
+void OverloadSimulation::count_outcome(const Caller& caller) {
   const Kind& kind = kKinds[caller.kind];
   std::vector<CallerCounts*> groups = {&result_.all, &result_.by_kind[kind.name],
                                        &result_.by_gateway[caller.gateway]};
   if (caller.prompt >= kind.largest_tenth) groups.push_back(&result_.largest_tenth);
   const bool in_time =
-      caller.finished && caller.first_token - caller.asked <= milliseconds(kind.goal_ms);
+      caller.finished && caller.first_token - caller.sent_at <= milliseconds(kind.goal_ms);
   for (CallerCounts* group : groups) {
-    ++group->asked;
+    ++group->total;
     ++(in_time ? group->in_time : caller.finished ? group->late : group->unserved);
   }
 }
 
-OverloadResult OverloadWorld::run() {
+OverloadResult OverloadSimulation::run() {
   TimePoint next_report = now_;
-  while (now_ < begin_ + options_.length + kPatience) {
-    work();
-    pass_on_backlogs();
+  while (now_ < begin_ + options_.duration + kCallerTimeout) {
+    run_engines();
+    send_backlogs();
     if (now_ >= next_report) {
       report();
-      next_report += kReportEvery;
+      next_report += kReportInterval;
     }
     for (const auto& gateway : gateways_) {
       ForwarderActions actions;
       gateway->forwarder.on_tick(now_, actions);
-      carry_out(*gateway, actions);
+      execute_actions(*gateway, actions);
     }
-    if (now_ < begin_ + options_.length) arrive();
-    come_back();
+    if (now_ < begin_ + options_.duration) start_callers();
+    send_due_retries();
     now_ += kStep;
   }
-  for (const Caller& caller : callers_) count(caller);
+  for (const Caller& caller : callers_) count_outcome(caller);
   return result_;
 }
 
--- a/tests/support/overload_world.h
+++ b/tests/support/overload_simulation.h
@@ -19,17 +19,17 @@
   std::uint64_t seed = 1;
   double load = 1;  ///< Arrivals over what the engines can serve.
   std::size_t engines = 4;
-  Duration length = seconds(40);
+  Duration duration = seconds(40);
   /// The gateways believe that engines read prompts at this rate; 0: the true one.
-  double believed_prompt_rate = 0;
-  bool tells_demand = true;  ///< Gateways tell agents how many requests reach them.
+  double configured_prompt_rate = 0;
+  bool reports_demand = true;  ///< Gateways tell agents how many requests reach them.
   /// Callers' first attempts state any time between the route's timeout and so much less.
-  Duration patience_spread = Duration::zero();
+  Duration timeout_jitter = Duration::zero();
 };
 
 /// What became of callers, counted by their first attempts.
 struct CallerCounts {
-  std::uint64_t asked = 0;
+  std::uint64_t total = 0;
   std::uint64_t in_time = 0;  ///< First token within the goal, from the first attempt on.
   std::uint64_t late = 0;
   std::uint64_t unserved = 0;
@@ -38,7 +38,7 @@
 
  private:
   double share(std::uint64_t count) const {
-    return asked == 0 ? 0 : static_cast<double>(count) / static_cast<double>(asked);
+    return total == 0 ? 0 : static_cast<double>(count) / static_cast<double>(total);
   }
 };
 
@@ -49,17 +49,17 @@
   std::map<std::size_t, CallerCounts> by_gateway;
   /// Callers that came back and were sent to an engine within 100 ms of the refusal of a first
   /// attempt; not counted while gateways learn how long callers wait.
-  std::uint64_t returns_served_while_first_refused = 0;
-  std::uint64_t returned = 0;     ///< Callers that came back after that time of learning.
-  std::uint64_t recognized = 0;   ///< Of these, those that were held to come back.
-  std::uint64_t asked_first = 0;  ///< First attempts after it.
-  std::uint64_t mistaken = 0;     ///< Of these, those that were held to come back.
+  std::uint64_t retries_served_while_first_refused = 0;
+  std::uint64_t retries = 0;         ///< Callers that came back after that time of learning.
+  std::uint64_t recognized = 0;      ///< Of these, those that were held to come back.
+  std::uint64_t first_attempts = 0;  ///< First attempts after it.
+  std::uint64_t misclassified = 0;   ///< Of these, those that were held to come back.
 };
 
-class OverloadWorld {
+class OverloadSimulation {
  public:
-  explicit OverloadWorld(OverloadOptions options);
-  ~OverloadWorld();
+  explicit OverloadSimulation(OverloadOptions options);
+  ~OverloadSimulation();
   OverloadResult run();
 
  private:
@@ -68,20 +68,20 @@
   struct Caller;
 
   FleetConfiguration configuration(double prompt_rate) const;
-  void arrive();
-  void ask(std::uint64_t number);
-  void carry_out(Gateway& gateway, ForwarderActions& actions);
-  void refuse(std::uint64_t request, Duration retry_after);
-  void work();
+  void start_callers();
+  void send_request(std::uint64_t number);
+  void execute_actions(Gateway& gateway, ForwarderActions& actions);
+  void on_refusal(std::uint64_t request, Duration retry_after);
+  void run_engines();
   void on_event(const EngineEvent& event);
   void report();
-  void pass_on_backlogs();
-  void come_back();
-  Duration draw_gap();
-  Duration draw_up_to(Duration longest);
-  void note_recognition(bool returned, bool held_to_return);
-  double draw_tokens(double mean, double spread, double most);
-  void count(const Caller& caller);
+  void send_backlogs();
+  void send_due_retries();
+  Duration random_arrival_gap();
+  Duration random_duration(Duration maximum);
+  void record_classification(bool is_retry, bool classified_as_retry);
+  double random_token_count(double mean, double spread, double max_tokens);
+  void count_outcome(const Caller& caller);
 
   OverloadOptions options_;
   std::mt19937_64 random_;
@@ -92,7 +92,7 @@
   std::vector<std::unique_ptr<Gateway>> gateways_;
   std::vector<std::unique_ptr<Engine>> engines_;
   std::vector<Caller> callers_;
-  std::multimap<TimePoint, std::uint64_t> returns_;
+  std::multimap<TimePoint, std::uint64_t> retries_;
   std::map<RequestNumber, std::uint64_t> callers_of_requests_;
   RequestNumber next_request_ = 1;
   OverloadResult result_;
--- a/tests/support/retry_fleet.h
+++ b/tests/support/retry_fleet.h
@@ -16,15 +16,15 @@
 namespace pumicemast::tests {
 
 /// The span in which the fleet came closest to the bound of repeats, or was furthest beyond it.
-struct RepeatWindow {
+struct RetryWindow {
   double ends_s = 0;
-  int repeats = 0;
+  int retries = 0;
   int requests = 0;
   double allowed = 0;
 
-  bool within() const { return repeats <= allowed; }
+  bool within() const { return retries <= allowed; }
   std::string to_string() const {
-    return std::to_string(repeats) + " repeats in the 10 s to " + std::to_string(ends_s) +
+    return std::to_string(retries) + " repeats in the 10 s to " + std::to_string(ends_s) +
            " s, for " + std::to_string(requests) + " requests; allowed " + std::to_string(allowed);
   }
 };
@@ -32,7 +32,7 @@
 class RetryFleet {
  public:
   static constexpr double kRatio = 0.2;
-  static constexpr double kRatioKept = 0.18;  ///< What each gateway earns, as the daemon sets it.
+  static constexpr double kEarnedRatio = 0.18;  ///< What each gateway earns, as the daemon sets it.
   static constexpr double kExtra = 232;
   static constexpr Duration kStep = milliseconds(50);
   static constexpr int kStepsPerWindow = 200;  ///< 10 s.
@@ -45,25 +45,25 @@
   }
 
   void add(std::size_t zone, int count) {
-    for (int number = 0; number < count; ++number) gateways_.push_back(begin(zone));
-    tell_all();
+    for (int number = 0; number < count; ++number) gateways_.push_back(make_gateway(zone));
+    report_gateway_counts();
   }
   /// The process ends and another begins in its place, which knows nothing.
   void restart(std::size_t gateway) {
-    gateways_[gateway] = begin(gateways_[gateway].zone);
-    tell_all();
+    gateways_[gateway] = make_gateway(gateways_[gateway].zone);
+    report_gateway_counts();
   }
   void restart_all() {
-    for (Gateway& gateway : gateways_) gateway = begin(gateway.zone);
-    tell_all();
+    for (Gateway& gateway : gateways_) gateway = make_gateway(gateway.zone);
+    report_gateway_counts();
   }
   /// Agents on the other side of a cut are not heard.
-  void cut_off(std::size_t zone) { cut_off_.insert(zone); }
-  void heal() { cut_off_.clear(); }
-  void lose_agents() { agents_ = false; }
-  void bring_agents_back() { agents_ = true; }
+  void isolate_zone(std::size_t zone) { isolated_zones_.insert(zone); }
+  void reconnect_zones() { isolated_zones_.clear(); }
+  void disconnect_agents() { agents_connected_ = false; }
+  void reconnect_agents() { agents_connected_ = true; }
   /// @param share  of the attempts that fail from now on.
-  void fail(double share) { failing_ = share; }
+  void set_failure_rate(double failure_rate) { failure_rate_ = failure_rate; }
   /// @param rate  of each gateway.
   void set_requests_per_s(double rate) { requests_per_s_ = rate; }
 
@@ -73,17 +73,17 @@
 
   std::size_t size() const { return gateways_.size(); }
   int failures() const { return failures_; }
-  int repeats() const { return count(repeats_, 0, repeats_.size()); }
+  int retries() const { return count(retries_, 0, retries_.size()); }
 
   /// Every span of 10 s: the requests are those of the span, of the one before it, or of the one
   /// half a span before it, whichever are most.
-  RepeatWindow worst_window() const {
-    RepeatWindow worst;
+  RetryWindow worst_window() const {
+    RetryWindow worst;
     double worst_excess = -kExtra;
-    for (std::size_t end = 1; end <= repeats_.size(); ++end) {
-      const RepeatWindow window = window_to(end);
-      if (window.repeats - window.allowed <= worst_excess) continue;
-      worst_excess = window.repeats - window.allowed;
+    for (std::size_t end = 1; end <= retries_.size(); ++end) {
+      const RetryWindow window = window_to(end);
+      if (window.retries - window.allowed <= worst_excess) continue;
+      worst_excess = window.retries - window.allowed;
       worst = window;
     }
     return worst;
@@ -96,26 +96,26 @@
     RetryBudgets budgets;
   };
 
-  Gateway begin(std::size_t zone) const {
+  Gateway make_gateway(std::size_t zone) const {
     RetryShareOptions options;
     options.extra = kExtra;
     options.min_gateways = 12;
     options.zones = zones_;
-    Gateway gateway{zone, RetryShare(options, now_), RetryBudgets(kRatioKept, kExtra)};
+    Gateway gateway{zone, RetryShare(options, now_), RetryBudgets(kEarnedRatio, kExtra)};
     gateway.budgets.set_allowance(gateway.share.allowance(now_));
     return gateway;
   }
 
   bool reaches(std::size_t zone, std::size_t other) const {
-    return zone == other || (!cut_off_.contains(zone) && !cut_off_.contains(other));
+    return zone == other || (!isolated_zones_.contains(zone) && !isolated_zones_.contains(other));
   }
 
-  void tell_all() {
-    if (!agents_) return;
-    for (Gateway& gateway : gateways_) tell(gateway);
+  void report_gateway_counts() {
+    if (!agents_connected_) return;
+    for (Gateway& gateway : gateways_) report_gateway_count(gateway);
   }
   /// What the agents on the gateway's side of a cut know.
-  void tell(Gateway& gateway) {
+  void report_gateway_count(Gateway& gateway) {
     std::map<std::size_t, std::uint64_t> by_zone;
     std::uint64_t known = 0;
     for (const Gateway& other : gateways_) {
@@ -132,24 +132,24 @@
 
   void step() {
     requests_.push_back(0);
-    repeats_.push_back(0);
+    retries_.push_back(0);
     if (requests_.size() % kStepsPerSweep == 0) {
-      tell_all();
+      report_gateway_counts();
       for (Gateway& gateway : gateways_)
         gateway.budgets.set_allowance(gateway.share.allowance(now_));
     }
     for (Gateway& gateway : gateways_) {
-      if (chance(requests_per_s_ * to_seconds(kStep))) ask(gateway);
+      if (chance(requests_per_s_ * to_seconds(kStep))) send_request(gateway);
     }
   }
 
-  void ask(Gateway& gateway) {
+  void send_request(Gateway& gateway) {
     RetryBudget& budget = gateway.budgets.for_service("service");
     budget.on_first_attempt();
     ++requests_.back();
-    if (!chance(failing_)) return;
+    if (!chance(failure_rate_)) return;
     ++failures_;
-    if (budget.try_spend()) ++repeats_.back();
+    if (budget.try_spend()) ++retries_.back();
   }
 
   bool chance(double probability) {
@@ -157,24 +157,24 @@
   }
 
   /// @return the sum of the steps from `from` up to, but without, `to`.
-  static int count(const std::vector<int>& steps, std::size_t from, std::size_t to) {
+  static int count(const std::vector<int>& steps, std::size_t first, std::size_t last) {
     int sum = 0;
-    for (std::size_t step = from; step < to; ++step) sum += steps[step];
+    for (std::size_t step = first; step < last; ++step) sum += steps[step];
     return sum;
   }
 
   /// The window that ends so many steps before `end`.
-  int requests_before(std::size_t end, std::size_t back) const {
-    if (back >= end) return 0;
-    const std::size_t to = end - back;
-    return count(requests_, to - std::min<std::size_t>(to, kStepsPerWindow), to);
+  int requests_before(std::size_t end, std::size_t steps_back) const {
+    if (steps_back >= end) return 0;
+    const std::size_t last = end - steps_back;
+    return count(requests_, last - std::min<std::size_t>(last, kStepsPerWindow), last);
   }
 
-  RepeatWindow window_to(std::size_t end) const {
-    const std::size_t from = end - std::min<std::size_t>(end, kStepsPerWindow);
-    RepeatWindow window;
+  RetryWindow window_to(std::size_t end) const {
+    const std::size_t first = end - std::min<std::size_t>(end, kStepsPerWindow);
+    RetryWindow window;
     window.ends_s = to_seconds(kStep * static_cast<std::int64_t>(end));
-    window.repeats = count(repeats_, from, end);
+    window.retries = count(retries_, first, end);
     window.requests = std::max({requests_before(end, 0), requests_before(end, kStepsPerWindow / 2),
                                 requests_before(end, kStepsPerWindow)});
     window.allowed = kRatio * window.requests + kExtra;
@@ -185,13 +185,13 @@
   TimePoint now_{seconds(1000)};
   std::size_t zones_ = 0;
   std::vector<Gateway> gateways_;
-  std::set<std::size_t> cut_off_;
-  bool agents_ = true;
-  double failing_ = 0;
+  std::set<std::size_t> isolated_zones_;
+  bool agents_connected_ = true;
+  double failure_rate_ = 0;
   double requests_per_s_ = 3;
   int failures_ = 0;
   std::vector<int> requests_;  ///< By steps.
-  std::vector<int> repeats_;   ///< By steps.
+  std::vector<int> retries_;   ///< By steps.
 };
 
 }  // namespace pumicemast::tests
--- a/tests/support/scripted_server.h
+++ b/tests/support/scripted_server.h
@@ -69,29 +69,29 @@
       received.append(buffer, static_cast<std::size_t>(count));
     }
   }
-  void say(const std::string& text) {
+  void send_text(const std::string& text) {
     CPPUNIT_ASSERT_EQUAL(static_cast<ssize_t>(text.size()),
                          send(accepted_, text.data(), text.size(), MSG_NOSIGNAL));
   }
   /// Whether the peer still took the bytes.
-  bool try_say(const std::string& text) {
+  bool try_send_text(const std::string& text) {
     return send(accepted_, text.data(), text.size(), MSG_NOSIGNAL) > 0;
   }
   /// Loses all that arrives from now on: nothing is acknowledged, as behind a cut.
-  void go_silent() {
+  void drop_incoming() {
     std::array<sock_filter, 1> program{{BPF_STMT(BPF_RET | BPF_K, 0)}};
     const sock_fprog filter{program.size(), program.data()};
     CPPUNIT_ASSERT_EQUAL(
         0, setsockopt(accepted_, SOL_SOCKET, SO_ATTACH_FILTER, &filter, sizeof(filter)));
   }
-  void end() {
+  void close_connection() {
     close(accepted_);
     accepted_ = -1;
   }
-  void end_with_reset() {
-    const linger at_once{1, 0};
-    setsockopt(accepted_, SOL_SOCKET, SO_LINGER, &at_once, sizeof(at_once));
-    end();
+  void reset_connection() {
+    const linger without_lingering{1, 0};
+    setsockopt(accepted_, SOL_SOCKET, SO_LINGER, &without_lingering, sizeof(without_lingering));
+    close_connection();
   }
 
  private:
--- a/tests/support/spread_network.h
+++ b/tests/support/simulated_network.h
@@ -17,7 +17,7 @@
 
 namespace pumicemast {
 
-class SpreadNetwork {
+class SimulatedNetwork {
  public:
   using Machine = std::size_t;
 
@@ -28,7 +28,8 @@
     Duration latency = milliseconds(1);
   };
 
-  SpreadNetwork(simulation::EventQueue& events, Options options, std::vector<std::size_t> regions)
+  SimulatedNetwork(simulation::EventQueue& events, Options options,
+                   std::vector<std::size_t> regions)
       : events_(events), options_(options), regions_(std::move(regions)) {
     senders_.resize(regions_.size());
     downlink_free_.resize(regions_.size());
@@ -43,7 +44,7 @@
     pump(from);
   }
   /// Nothing leaves the machine any more; its connections stay open.
-  void hang(Machine machine) { senders_[machine].hangs = true; }
+  void stop_sending(Machine machine) { senders_[machine].sending_stopped = true; }
   std::size_t peak_queued_bytes(Machine machine) const { return senders_[machine].peak_bytes; }
   std::size_t queued_bytes(Machine machine) const { return senders_[machine].queued_bytes; }
   /// Of this machine alone, in place of the options' rate.
@@ -59,13 +60,13 @@
   };
   struct Connection {
     std::deque<Message> messages;  ///< Those of which something has not arrived.
-    std::size_t in_flight = 0;
+    std::size_t unacknowledged = 0;
   };
   struct Sender {
     std::map<Machine, Connection> connections;
     Machine last_served = 0;
     bool busy = false;
-    bool hangs = false;
+    bool sending_stopped = false;
     std::size_t queued_bytes = 0;
     std::size_t peak_bytes = 0;
   };
@@ -78,7 +79,7 @@
     return from_seconds(static_cast<double>(bytes) / bytes_per_s);
   }
   Message* next_message(Connection& connection) const {
-    if (connection.in_flight >= options_.window_bytes) return nullptr;
+    if (connection.unacknowledged >= options_.window_bytes) return nullptr;
     const auto found = std::find_if(connection.messages.begin(), connection.messages.end(),
                                     [](const Message& message) { return message.unsent > 0; });
     return found == connection.messages.end() ? nullptr : &*found;
@@ -98,7 +99,7 @@
   }
   void pump(Machine from) {
     Sender& sender = senders_[from];
-    if (sender.busy || sender.hangs) return;
+    if (sender.busy || sender.sending_stopped) return;
     const Machine* receiver = next_receiver(sender);
     if (receiver == nullptr) return;
     const Machine to = *receiver;
@@ -106,7 +107,7 @@
     Message* message = next_message(connection);
     const std::size_t bytes = std::min(kPacketBytes, message->unsent);
     message->unsent -= bytes;
-    connection.in_flight += bytes;
+    connection.unacknowledged += bytes;
     sender.queued_bytes -= bytes;
     sender.busy = true;
     events_.schedule_in(time_of(bytes, rate_of(from)), [this, from, to, bytes] {
@@ -132,7 +133,7 @@
   }
   void arrive(Machine from, Machine to, std::size_t bytes) {
     Connection& connection = senders_[from].connections[to];
-    connection.in_flight -= bytes;
+    connection.unacknowledged -= bytes;
     std::vector<std::function<void()>> arrived;
     while (bytes > 0) {
       Message& head = connection.messages.front();
--- a/tests/support/suspended_clock.h
+++ b/tests/support/suspended_clock.h
@@ -6,6 +6,6 @@
 namespace pumicemast::tests {
 
 /// From now on CLOCK_BOOTTIME is ahead of CLOCK_MONOTONIC by `length` more, as after a suspension.
-void sleep_through(Duration length);
+void suspend_machine(Duration length);
 
 }  // namespace pumicemast::tests
--- a/tests/swarm/origin_outage_test.cpp
+++ b/tests/swarm/origin_outage_test.cpp
@@ -2,21 +2,20 @@
 
 #include <iostream>
 
-#include "support/origin_outage_world.h"
+#include "support/origin_outage_simulation.h"
 
 namespace pumicemast {
 namespace {
 
 using tests::OriginOutageResult;
 using tests::OriginOutageSettings;
-using tests::OriginOutageWorld;
+using tests::OriginOutageSimulation;
 
 OriginOutageResult play(const OriginOutageSettings& settings) {
-  const OriginOutageResult result = OriginOutageWorld(settings).run();
+  const OriginOutageResult result = OriginOutageSimulation(settings).run();
   std::cout << " agents=" << settings.agents << " seed=" << settings.seed
             << " origin_copies=" << result.origin_copies << " first_s=" << result.first_complete_s
-            << " half_s=" << result.half_complete_s
-            << " nine_tenths_s=" << result.nine_tenths_complete_s
+            << " half_s=" << result.half_complete_s << " nine_tenths_s=" << result.p90_complete_s
             << " last_s=" << result.last_complete_s << " incomplete=" << result.incomplete
             << " refused_calls=" << result.refused_calls << std::endl;
   return result;
@@ -43,8 +42,8 @@
  public:
   void a_calm_origin_sends_one_copy() {
     OriginOutageSettings settings;
-    settings.away_from = settings.away_until = Duration::zero();
-    settings.replaced = 0;
+    settings.outage_start = settings.outage_end = Duration::zero();
+    settings.replaced_agents = 0;
     const OriginOutageResult result = play(settings);
     CPPUNIT_ASSERT_EQUAL(0U, result.incomplete);
     CPPUNIT_ASSERT(result.origin_copies < 1.3);
@@ -68,7 +67,7 @@
     OriginOutageSettings settings;
     settings.agents = 76;
     settings.regions = 3;
-    settings.replaced = 0;
+    settings.replaced_agents = 0;
     settings.origin_bytes_per_second = 4.38e6 / 8;
     settings.origin_overhead = 1.2;
     return settings;
@@ -78,7 +77,7 @@
     for (std::uint32_t seed = 1; seed <= 3; ++seed) {
       OriginOutageSettings settings = narrow_origin();
       settings.seed = seed;
-      settings.away_from = settings.away_until = Duration::zero();
+      settings.outage_start = settings.outage_end = Duration::zero();
       const OriginOutageResult result = play(settings);
       CPPUNIT_ASSERT_EQUAL(0U, result.incomplete);
       CPPUNIT_ASSERT(result.origin_copies < 1.3);
@@ -91,12 +90,12 @@
     for (std::uint32_t seed = 1; seed <= 3; ++seed) {
       OriginOutageSettings settings = narrow_origin();
       settings.seed = seed;
-      settings.away_from = milliseconds(500);
-      settings.away_until = milliseconds(6500);
+      settings.outage_start = milliseconds(500);
+      settings.outage_end = milliseconds(6500);
       const OriginOutageResult result = play(settings);
       CPPUNIT_ASSERT_EQUAL(0U, result.incomplete);
       CPPUNIT_ASSERT(result.origin_copies < 1.5);
-      const double away_s = to_seconds(settings.away_until - settings.away_from);
+      const double away_s = to_seconds(settings.outage_end - settings.outage_start);
       assert_prompt(result, copy_seconds(settings) + away_s, away_s);
     }
   }
@@ -104,7 +103,7 @@
   /// With all connections in use a chunk takes 5.7 s.
   void an_origin_so_narrow_that_a_chunk_takes_seconds_sends_little_twice() {
     OriginOutageSettings settings = narrow_origin();
-    settings.away_from = settings.away_until = Duration::zero();
+    settings.outage_start = settings.outage_end = Duration::zero();
     settings.origin_bytes_per_second = 2e6 / 8;
     const OriginOutageResult result = play(settings);
     CPPUNIT_ASSERT_EQUAL(0U, result.incomplete);
@@ -123,7 +122,7 @@
   static void assert_prompt(const OriginOutageResult& result, double least_s, double away_s = 0) {
     CPPUNIT_ASSERT(result.first_complete_s < away_s + 1.2 * (least_s - away_s) + 0.6);
     CPPUNIT_ASSERT(result.half_complete_s < result.first_complete_s + 1.0);
-    CPPUNIT_ASSERT(result.nine_tenths_complete_s < result.first_complete_s + 2.0);
+    CPPUNIT_ASSERT(result.p90_complete_s < result.first_complete_s + 2.0);
   }
 };
 
