--- a/tests/fuzz/bad_bytes_test.cpp
+++ b/tests/fuzz/bad_bytes_test.cpp
@@ -25,7 +25,7 @@
 
 constexpr std::uint64_t kDefaultCases = 2000;
 constexpr std::uint64_t kDefaultSeed = 1;
-/// Settings come from a file each; fewer of them.
+/// Each settings case writes a file, so there is one per this many cases of the other tests.
 constexpr std::uint64_t kCasesPerFile = 20;
 
 std::uint64_t from_environment(const char* name, std::uint64_t fallback) {
@@ -54,14 +54,14 @@
     "[a]\nnumber=7\nratio=0.5\nflag=true\ntime_ms=100\naddress=127.0.0.1:80\n"
     "addresses=127.0.0.1:80;127.0.0.1:81\nurl=http://127.0.0.1:80\n[b]\nname=x\n";
 
-/// What a reader makes of some bytes.
+/// Result of feeding bytes to a parser.
 struct ParseResult {
-  bool complete = false;  ///< It ended in order; a message that is malformed or cut off did not.
-  std::string text;       ///< What was handed on.
+  bool complete = false;  ///< False for a malformed or truncated message.
+  std::string text;       ///< Output of the parser.
 };
 
-/// Whether two readings of the same bytes, cut differently, agree. Bytes that will never be a
-/// message may be found out sooner or later, so that more or less was handed on before.
+/// Whether two results for the same bytes, split differently, agree. How early a parser rejects
+/// malformed bytes may depend on the split, so one output may then be a prefix of the other.
 bool agree(const ParseResult& one, const ParseResult& other) {
   if (one.complete != other.complete) return false;
   if (one.complete) return one.text == other.text;
@@ -156,9 +156,9 @@
 
 }  // namespace
 
-/// Whatever is parsed from outside, with bytes or values changed: nothing crashes or throws, and
-/// what comes of them does not depend on where they are cut. PUMICEMAST_FUZZ_CASES and
-/// PUMICEMAST_FUZZ_SEED choose more cases, and others (docs/DEVELOPERS.md).
+/// Feeds randomly corrupted input to all parsers of external data. No parser may crash or throw,
+/// and no result may depend on how the input is split. PUMICEMAST_FUZZ_CASES sets the number of
+/// cases, PUMICEMAST_FUZZ_SEED selects other ones (docs/DEVELOPERS.md).
 class BadBytesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(BadBytesTest);
   CPPUNIT_TEST(readings_that_differ_are_told_apart);
--- a/tests/main.cpp
+++ b/tests/main.cpp
@@ -1,6 +1,7 @@
 /// Runs the CppUnit fixtures named on the command line, or all of them.
 ///
-/// Tests that KNOWN-RED.txt lists (named by PUMICEMAST_KNOWN_RED) are passed over and told.
+/// Skips the tests that KNOWN-RED.txt lists (PUMICEMAST_KNOWN_RED is its path) and prints their
+/// names.
 #include <cppunit/BriefTestProgressListener.h>
 #include <cppunit/CompilerOutputter.h>
 #include <cppunit/Test.h>
@@ -16,7 +17,7 @@
 
 namespace {
 
-/// Each line begins with `Fixture::test:`.
+/// Each entry of the file starts with `Fixture::test: `.
 std::set<std::string> read_known_red() {
   std::set<std::string> names;
   const char* path = std::getenv("PUMICEMAST_KNOWN_RED");
@@ -29,17 +30,18 @@
   return names;
 }
 
-/// CppUnit puts the namespace before the fixture's name.
+/// CppUnit prefixes the names of fixtures with the namespace.
 std::string without_namespace(const std::string& name) {
   const std::string prefix = "pumicemast::";
   return name.starts_with(prefix) ? name.substr(prefix.size()) : name;
 }
 
-/// @return how many tests were passed over.
+/// Runs all tests but those in `known_red`.
+/// @return the number of skipped tests.
 int run_except(const std::set<std::string>& known_red, CppUnit::Test& test,
                CppUnit::TestResult& result) {
   if (known_red.contains(without_namespace(test.getName()))) {
-    std::cout << "passed over, known red: " << without_namespace(test.getName()) << "\n";
+    std::cout << "skipped, listed in KNOWN-RED.txt: " << without_namespace(test.getName()) << "\n";
     return 1;
   }
   if (test.getChildTestCount() == 0) {
@@ -76,6 +78,6 @@
   }
   CppUnit::CompilerOutputter outputter(&collector, std::cerr);
   outputter.write();
-  // A fixture without tests would pass unseen.
+  // An unknown fixture, or one without tests, must not pass.
   return collector.wasSuccessful() && collector.runTests() + skipped > 0 ? 0 : 1;
 }
--- a/tests/support/backends.h
+++ b/tests/support/backends.h
@@ -1,4 +1,4 @@
-/// Short ways to fill a BackendDirectory.
+/// Shorthands for the messages that fill a BackendDirectory.
 #pragma once
 
 #include <string>
--- a/tests/support/byte_mutator.h
+++ b/tests/support/byte_mutator.h
@@ -1,4 +1,4 @@
-/// Makes bad input out of good input, from a seed.
+/// Creates malformed input from valid input, reproducibly from a seed.
 #pragma once
 
 #include <algorithm>
@@ -14,18 +14,18 @@
 
 class ByteMutator {
  public:
-  /// @param dictionary  words of the format, put in at random places.
+  /// @param dictionary  tokens of the format, inserted at random positions.
   ByteMutator(std::uint64_t seed, std::vector<std::string> dictionary)
       : random_(seed), dictionary_(std::move(dictionary)) {}
 
-  /// `good` with one to eight changes.
+  /// Returns `good` with one to eight random changes.
   std::string mutate(std::string good) {
     const std::size_t changes = 1 + below(kMaximumChanges);
     for (std::size_t change = 0; change < changes; ++change) apply_change(good);
     return good;
   }
 
-  /// `good` with one value, at any depth, replaced by one of another kind or size.
+  /// Returns `good` with one value, at any depth, replaced by one of unusual type or size.
   nlohmann::json mutate_document(const nlohmann::json& good) {
     std::vector<nlohmann::json::json_pointer> pointers;
     list_pointers(good, nlohmann::json::json_pointer(), pointers);
@@ -34,7 +34,7 @@
     return bad;
   }
 
-  /// `bytes` cut into pieces of random lengths.
+  /// Splits `bytes` into pieces of random lengths.
   std::vector<std::string_view> cut(std::string_view bytes) {
     std::vector<std::string_view> pieces;
     while (!bytes.empty()) {
--- a/tests/support/configuration_spread_simulation.cpp
+++ b/tests/support/configuration_spread_simulation.cpp
@@ -30,8 +30,8 @@
   RecentConfigurations recent_configurations;
   std::uint64_t version = 1;
   bool reads_store = false;
-  bool store_read_pending = false;  ///< A document of the store is on its way.
-  bool catch_up_scheduled = false;  ///< The timer that looks whether to ask runs.
+  bool store_read_pending = false;  ///< The store is sending a document.
+  bool catch_up_scheduled = false;  ///< The timer of catch_up_tick() runs.
   bool hung = false;
 };
 
@@ -126,7 +126,7 @@
     });
   }
 
-  // ---- what gateways tell each other ----
+  // ---- gossip ----
 
   std::set<std::size_t> gossip_recipients(std::size_t index) const {
     std::set<std::size_t> recipients;
@@ -166,7 +166,7 @@
     gossip_now(index);
   }
 
-  // ---- fetching it from each other, as gateway/fleet_links does ----
+  // ---- fetching a document from another gateway, as FleetLinks does ----
 
   void catch_up_tick(std::size_t index) {
     Gateway& gateway = gateways_[index];
--- a/tests/support/configuration_spread_simulation.h
+++ b/tests/support/configuration_spread_simulation.h
@@ -1,5 +1,6 @@
-/// Gateways that learn two large configurations from the store and from each other, on virtual
-/// time over a network of narrow links. The decisions are those of the gateway's own cores.
+/// Simulates how two large configurations reach all gateways, from the store and from each other,
+/// on virtual time and over links with little bandwidth. The decision cores are those of the
+/// gateway.
 #pragma once
 
 #include <cstddef>
@@ -13,30 +14,30 @@
 struct SpreadSetup {
   std::size_t document_bytes = 700'000;
   std::size_t gateways = 39;
-  std::size_t zones = 4;  ///< The first half of them in the store's region.
+  std::size_t zones = 4;  ///< The first half of them are in the store's region.
   std::size_t readers_per_zone = 2;
   double machine_mbit_per_s = 40;
-  /// Between two regions each way, less the 4 Mbit/s that requests take.
+  /// Bandwidth between two regions in each direction, without the 4 Mbit/s that requests use.
   double region_mbit_per_s = 18;
   Duration second_version_after = seconds(2);
-  /// The first reader of each zone stops sending so long after the first version; zero for never.
+  /// Time from the first version until the first store reader of each zone hangs; zero: never.
   Duration reader_hangs_after = Duration::zero();
   std::uint32_t seed = 1;
 };
 
 struct SpreadOutcome {
   bool all_have_newest = false;
-  /// From the second version's appearance until the last gateway has it.
+  /// From the publication of the second version until the last gateway has it in force.
   Duration propagation_time = Duration::zero();
-  /// Bytes of documents sent from gateways to gateways of another region, in documents.
+  /// Document bytes that gateways sent to other regions, divided by the size of a document.
   double copies_between_regions = 0;
-  /// The same over all links, of both versions.
+  /// Document bytes that gateways sent in total, divided by the size of a document.
   double copies = 0;
-  /// Most bytes that one gateway held for others at once.
+  /// Highest number of bytes queued for sending at one gateway.
   std::size_t peak_queued_bytes = 0;
 };
 
-/// Runs until all have the second version, 30 s at most.
+/// Runs until all gateways have the second version, for at most 30 s after its publication.
 SpreadOutcome spread_configurations(const SpreadSetup& setup);
 
 }  // namespace pumicemast
--- a/tests/support/crash_simulation.cpp
+++ b/tests/support/crash_simulation.cpp
@@ -13,14 +13,15 @@
 constexpr std::uint64_t kStepsPerReport = 10;
 constexpr std::uint64_t kStepsPerTick = 2;
 constexpr std::uint64_t kStepsPerSweep = 50;
-/// From the begin of a request to the end of its engine, as was seen.
+/// Minimum time from the submission of a request until the engine begins it and crashes, as
+/// observed.
 constexpr Duration kCrashDelay = milliseconds(50);
 constexpr std::uint32_t kSlots = 16;
 constexpr int kUnlimitedRetries = 1000000;
 constexpr int kOrdinaryRetries = 3;
 constexpr std::size_t kGossipRecipients = 8;
 constexpr std::size_t kDigestRecipients = 3;
-/// On the wire, of an end or an acquittal, and of each request of it.
+/// Bytes on the wire for a crash or a completion, and for each request of a crash.
 constexpr std::size_t kBytesPerReport = 40;
 constexpr std::size_t kBytesPerRequest = 16;
 
@@ -218,7 +219,7 @@
 }
 
 void CrashSimulation::compare_verdicts() {
-  // Each compares with the next three, as with the digests that gateways tell regularly.
+  // Each gateway compares with the next three, like the recipients of regular digests.
   for (std::size_t from = 0; from < gateways_.size(); ++from) {
     for (std::size_t offset = 1; offset <= kDigestRecipients; ++offset) {
       const std::size_t to = (from + offset) % gateways_.size();
@@ -368,7 +369,7 @@
   return gateways_[gateway]->quarantine;
 }
 
-// ---- what gateways do ----
+// ---- actions of gateways ----
 
 void CrashSimulation::execute_actions(std::size_t index, ForwarderActions& actions) {
   const ForwarderActions now = std::move(actions);
@@ -426,8 +427,8 @@
   if (found == gateway.sent.end()) return;
   const SentRequest sent = found->second;
   gateway.sent.erase(found);
-  // By way of a reference: with a pointer to member on the conditional itself, GCC 12 counts in a
-  // copy.
+  // Needs the reference: GCC 12 increments a copy if the pointer to member is applied to the
+  // conditional expression itself.
   CrashResults& results = crashing_bodies_.contains(sent.body) ? crashing_ : ordinary_;
   ++(results.*outcome);
   if (sent.retries_left == 0 || outcome == &CrashResults::served) return;
--- a/tests/support/crash_simulation.h
+++ b/tests/support/crash_simulation.h
@@ -1,8 +1,9 @@
-/// Gateways before engines that some requests end, on virtual time.
+/// Simulates gateways in front of engines that crash under some requests, on virtual time.
 ///
-/// The gateways' cores are the production ones. Each engine has an agent beside it, which reports
-/// every 100 ms to all gateways, and lives on when the engine alone ends; without power both are
-/// silent. An engine is back some seconds after its end, under another id and with its weights.
+/// The decision cores of the gateways are the production ones. Each engine has an agent on the same
+/// machine, which reports to all gateways every 100 ms and keeps running when only the engine
+/// crashes; without power neither sends anything. A crashed engine restarts after kRestartTime with
+/// a new id and with its weights.
 #pragma once
 
 #include <cstdint>
@@ -23,57 +24,57 @@
   std::size_t gateways_per_zone = 2;
   std::size_t engines_per_zone = 4;
   std::uint32_t seed = 1;
-  double ordinary_requests_per_s = 60;  ///< Requests that end no engine.
-  std::uint32_t attempts = 2;           ///< Of the route.
+  double ordinary_requests_per_s = 60;  ///< Requests that crash no engine.
+  std::uint32_t attempts = 2;           ///< Maximum attempts of the route.
 };
 
-/// What became of the requests of a play.
+/// Outcomes of the requests of a run.
 struct CrashResults {
   int sent = 0;
   int served = 0;
-  int failed = 0;       ///< Failed, or cut in the middle.
-  int quarantined = 0;  ///< Refused because engines ended under them.
-  int refused = 0;      ///< For any other reason.
+  int failed = 0;       ///< Refused with `backend_failed`, or response aborted.
+  int quarantined = 0;  ///< Refused because engines crashed under them.
+  int refused = 0;      ///< Refused for any other reason.
 };
 
 class CrashSimulation {
  public:
-  /// From an engine's end until it is back.
+  /// From a crash of an engine, or the return of its power, until it runs again.
   static constexpr Duration kRestartTime = milliseconds(2500);
 
   explicit CrashSimulation(const CrashSimulationOptions& options);
   ~CrashSimulation();
 
-  /// From now on a request of this body comes again and again: 0.2 to 0.8 s after its last try
-  /// ended, at any gateway. Whatever engine begins it ends.
-  /// @param tries  that many callers send it at a time.
+  /// Sends a request with this body that crashes every engine that begins it. Each caller retries
+  /// it without end, 0.2 to 0.8 s after its last attempt ended, at a random gateway.
+  /// @param callers  number of callers that send it in parallel.
   void send_crashing_request(const std::string& body, int callers = 1);
-  /// All engines and agents of the zone lose power, and are back after `length`.
+  /// All engines and agents of the zone lose power for `length`.
   void lose_power(std::size_t zone, Duration length);
-  /// Engines end on their own, agents live on.
+  /// All engines of the zone crash; the agents keep running.
   void crash_engines(std::size_t zone);
-  /// The gateway's process is another one, which knows nothing.
+  /// Replaces the gateway by a new process without state.
   void restart_gateway(std::size_t gateway);
-  /// The gateway hears nothing from other gateways, and they nothing from it.
+  /// Drops all messages between the gateway and other gateways.
   void isolate_gateway(std::size_t gateway) { isolated_.insert(gateway); }
   void reconnect_gateway(std::size_t gateway) { isolated_.erase(gateway); }
-  /// One request of this body at this gateway.
-  /// @return its number there.
+  /// Sends one request with this body to the gateway, without retries.
+  /// @return its number at the gateway.
   RequestNumber send_request(std::size_t gateway, const std::string& body);
 
   void run(Duration span);
 
   TimePoint now() const { return now_; }
-  /// Engines that ended because they began this body.
+  /// Number of engines that crashed under a request with this body.
   int engines_crashed_by(const std::string& body) const;
-  /// The moments of these ends.
+  /// Times of these crashes.
   const std::vector<TimePoint>& crashes_by(const std::string& body) { return crashes_[body]; }
   const CrashResults& ordinary() const { return ordinary_; }
   const CrashResults& crashing() const { return crashing_; }
   std::size_t gateways() const { return gateways_.size(); }
-  /// What gateways have told each other of crashes.
+  /// Bytes that gateways have sent each other about crashes.
   std::size_t gossip_bytes() const { return gossip_bytes_; }
-  /// Gateways at which the request is in quarantine.
+  /// Number of gateways at which the request is in quarantine.
   std::size_t quarantined_at(const std::string& body) const;
   const RequestQuarantine& quarantine(std::size_t gateway) const;
 
@@ -99,7 +100,7 @@
   };
   struct SentRequest {
     std::string body;
-    int retries_left = 0;  ///< So often its caller sends it again after it was not served.
+    int retries_left = 0;  ///< How often its caller sends it again if it is not served.
   };
   struct Gateway;
   struct Message {
@@ -114,7 +115,7 @@
   std::unique_ptr<Gateway> start_gateway(std::size_t zone, std::uint64_t seed);
   void list_engine(Gateway& gateway, const Engine& engine);
   void step();
-  /// What a gateway tells arrives with the next step.
+  /// Delivers the updates of the last step and sends new ones.
   void exchange_crash_updates();
   std::vector<std::size_t> gossip_recipients(std::size_t from);
   void send(std::size_t from, std::size_t to, const CrashUpdate& update);
@@ -125,7 +126,7 @@
   void advance(Engine& engine);
   void begin(Engine& engine, Run& run);
   void finish(const Run& run);
-  /// Breaks off what runs there.
+  /// Interrupts all requests that run on the engine.
   void crash_engine(Engine& engine);
   void restart_engine(Engine& engine);
   void report(const Engine& engine);
--- a/tests/support/fleet_start_simulation.cpp
+++ b/tests/support/fleet_start_simulation.cpp
@@ -19,7 +19,8 @@
 constexpr double kBytesPerMegabyte = 1e6;
 constexpr std::size_t kDigestBytes = 400;
 constexpr std::size_t kSmallCallBytes = 250;
-/// Of a back end in an answer of the store, and in a message of the system's own.
+/// Size of a back end's entry in a response of the store, and in a message between gateways and
+/// agents.
 constexpr std::size_t kStoreEntryBytes = 320;
 constexpr std::size_t kRelayEntryBytes = 150;
 constexpr Duration kReaderCheckInterval = milliseconds(100);
@@ -28,12 +29,12 @@
 constexpr Duration kRunAfterChange = seconds(10);
 constexpr std::size_t kRingSuccessors = 3;
 constexpr double kStoreBytesPerSecond = 125e6;
-/// As a gateway's: while more waits, it sends no whole list.
+/// As in production: a gateway sends no full list while more bytes than this are queued.
 constexpr std::size_t kListQueueLimitBytes = 1U << 20U;
 constexpr std::uint64_t kListRevision = 1;
 constexpr Duration kListRequestInterval = milliseconds(300);
 constexpr Duration kAgentRequestInterval = milliseconds(500);
-/// Of the list of back ends, in one answer of the store.
+/// Maximum number of back ends in one response of the store.
 constexpr std::size_t kMaximumPageEntries = 500;
 
 struct Gateway {
@@ -54,7 +55,7 @@
   bool started = false;
   bool is_reader = false;
   bool has_list = false;
-  bool store_answered = false;  ///< A page of the list has come.
+  bool store_answered = false;  ///< The store has sent data to this gateway or to one of its zone.
   TimePoint next_list_request_at{};
   std::uint64_t version = 0;
   bool hung = false;
@@ -62,7 +63,7 @@
 
 struct Contact {
   std::size_t gateway = 0;
-  std::uint64_t revision = 0;  ///< 0: none.
+  std::uint64_t revision = 0;  ///< 0 if the zone has no contact.
 };
 
 class Simulation {
@@ -104,7 +105,7 @@
     options.region_bytes_per_s = setup.region_mbit_per_s * kBytesPerMegabit;
     return options;
   }
-  /// Gateways, agents, the store.
+  /// Regions of the gateways, the agents and the store, in this order.
   static std::vector<std::size_t> regions_of(const FleetStartSetup& setup) {
     std::vector<std::size_t> regions;
     const std::size_t processes = setup.zones * (setup.gateways_per_zone + setup.agents_per_zone);
@@ -246,7 +247,7 @@
     });
   }
 
-  // ---- what gateways tell each other ----
+  // ---- gossip ----
 
   void gossip(std::size_t index) {
     const Gateway& gateway = *gateways_[index];
@@ -299,7 +300,7 @@
     network_.send(requester, holder, kSmallCallBytes, [this, requester, holder, on_list] {
       if (!gateways_[holder]->has_list) return;
       if (network_.queued_bytes(holder) > kListQueueLimitBytes) return;
-      // Agents are told of engines alone, and each has one.
+      // Agents receive only the entries of engines, of which each agent has one.
       const std::size_t entries = requester < gateway_count() ? setup_.backends : agent_count();
       network_.send(holder, requester, entries * kRelayEntryBytes, on_list);
     });
@@ -308,7 +309,7 @@
     Gateway& gateway = *gateways_[index];
     if (gateway.has_list) return;
     gateway.has_list = true;
-    gateway.store_answered = true;  // Of a gateway of the zone, at least.
+    gateway.store_answered = true;  // At least to the gateway of the zone that sent the list.
     gateway.reader_policy.on_list_known();
     if (setup_.list_source == StartupListSource::object_store) discover_zone_gateways(index);
     for (const std::size_t other : gateway.known_gateways) send_digest(index, other);
@@ -318,7 +319,7 @@
           std::min(outcome_.list_propagation_time, events_.now() - TimePoint{});
     }
   }
-  /// The agents that the list names tell which gateways there are.
+  /// The agents in the list report the gateways that they know.
   void discover_zone_gateways(std::size_t index) {
     for (std::size_t other = 0; other < gateways_.size(); ++other) {
       const bool discovered =
@@ -326,7 +327,7 @@
       if (discovered && other != index) gateways_[index]->known_gateways.insert(other);
     }
   }
-  /// Agents of the zone hear of a reader.
+  /// The agents of the zone learn of a store reader and request the list from gateways.
   void start_agent_list_requests(std::size_t zone) {
     if (!zones_with_list_.insert(zone).second) return;
     for (std::size_t agent = zone; agent < agent_count(); agent += setup_.zones) {
--- a/tests/support/fleet_start_simulation.h
+++ b/tests/support/fleet_start_simulation.h
@@ -1,6 +1,6 @@
-/// Processes of several zones that all start at once and learn the list of back ends and the
-/// configuration, on virtual time over a network of narrow links. Who reads the store is decided by
-/// the gateway's own cores.
+/// Simulates a start of all processes of several zones at once, which fetch the list of back ends
+/// and the configuration, on virtual time and over links with little bandwidth. The gateway's
+/// decision cores select the gateways that read the store.
 #pragma once
 
 #include <cstddef>
@@ -10,39 +10,40 @@
 
 namespace pumicemast::tests {
 
-/// How a process that starts learns the list.
+/// Source of the list of back ends for a process that starts.
 enum class StartupListSource {
-  contact,      ///< One gateway of a zone reads it for the others, as in production.
-  object_store  ///< All gateways and agents read it from the store.
+  contact,      ///< As in production: one gateway of a zone reads the store for the others.
+  object_store  ///< All gateways and agents read the store.
 };
 
 struct FleetStartSetup {
   std::size_t zones = 3;
-  std::size_t regions = 3;  ///< The store stands in the first.
+  std::size_t regions = 3;  ///< The store is in the first.
   std::size_t gateways_per_zone = 33;
   std::size_t agents_per_zone = 67;
   std::size_t backends = 3000;
   std::size_t configuration_bytes = 5'000;
   double region_mbit_per_s = 22;
-  Duration store_delay = milliseconds(4);  ///< Of each answer.
+  Duration store_delay = milliseconds(4);  ///< Of each response.
   Duration start_jitter = milliseconds(300);
-  /// A configuration is published so long after the start.
+  /// Time from the start until a configuration is published.
   Duration change_after = seconds(4);
-  /// The zone's contact stops sending so long after the start; zero for never.
+  /// Time from the start until the contact of each zone hangs; zero: never.
   Duration contact_hangs_after = Duration::zero();
   StartupListSource list_source = StartupListSource::contact;
   std::uint32_t seed = 1;
 };
 
 struct FleetStartOutcome {
-  /// From the start until the last gateway has the list; the longest run where one never has it.
+  /// From the start until the last gateway has the list; the length of the run if one never gets
+  /// it.
   Duration list_propagation_time = Duration::zero();
-  /// From the publication until the last gateway has the configuration in force.
+  /// From the publication until the last gateway has the configuration in force; 10 s at most.
   Duration change_propagation_time = Duration::zero();
   double megabytes_from_store_to_other_regions = 0;
-  /// Copies of the whole list that the store sent.
+  /// Number of times that a process began to read the full list from the store.
   std::size_t lists_read = 0;
-  /// Gateways that read the store at the end, in the zone with most of them.
+  /// Number of store readers at the end, in the zone with the most.
   std::size_t max_readers_per_zone = 0;
 };
 
--- a/tests/support/gateway_harness.h
+++ b/tests/support/gateway_harness.h
@@ -1,4 +1,4 @@
-/// A gateway's cores with a small configuration, driven by hand on a hand-set time.
+/// Drives the decision cores of a gateway with a small configuration and a manual clock.
 #pragma once
 
 #include <string>
@@ -57,7 +57,7 @@
     pool.on_record(record);
   }
 
-  /// A fresh report of an engine.
+  /// Delivers a load report of an engine.
   void report_load(std::uint16_t port, std::uint32_t credit, std::uint64_t weights,
                    std::uint32_t running = 0) {
     LoadReport load;
@@ -68,7 +68,7 @@
     pool.on_report({"127.0.0.1", port}, load, now);
   }
 
-  /// Two engines with room, a configuration, and no load.
+  /// Sets the configuration and adds two idle engines with credit.
   void add_engines() {
     configure();
     add_backend("e1", "engines", 1, 1);
@@ -76,7 +76,7 @@
     report_load(1, 4, 1);
     report_load(2, 4, 1);
   }
-  /// An engine without room, and a gateway that knows how long callers usually wait.
+  /// Adds an engine without credit, after 30 requests that teach the gateway the callers' timeout.
   void add_busy_engine() {
     configure();
     for (int count = 0; count < 30; ++count) send_request("/chat/1");
@@ -129,7 +129,7 @@
     forwarder.on_tick(now, actions);
   }
 
-  /// The last actions' first one of a kind, or null.
+  /// First action of this type among those of the last call, or null.
   template <class Action>
   const Action* first_action() const {
     for (const ForwarderAction& action : actions) {
@@ -137,7 +137,7 @@
     }
     return nullptr;
   }
-  /// Back end of the last actions' send; empty when there is none.
+  /// Back end to which the last call sent a request; empty if it sent none.
   std::string sent_to() const {
     const auto* send = first_action<SendToBackend>();
     return send == nullptr ? "" : send->backend;
--- a/tests/support/limited_fleet.cpp
+++ b/tests/support/limited_fleet.cpp
@@ -123,7 +123,7 @@
     record.revision = static_cast<std::uint64_t>(engines_[engine]->started_at_ms);
     record.weight_version = 1;
     gateways_[index]->pool.on_record(record);
-    // Its subscription is answered at once.
+    // The agents answer the subscription of the new process at once.
     if (!isolated_.contains(index)) send_load_report(engine, index);
   }
   tick(index);
@@ -192,7 +192,7 @@
   std::uniform_int_distribution<std::size_t> any(0, gateways_.size() - 1);
   const std::size_t index = any(random_);
   const auto frozen = frozen_until_.find(index);
-  // Callers soon leave a gateway that stands still.
+  // Callers soon stop using a gateway that is frozen.
   if (frozen != frozen_until_.end() && now_ < frozen->second) return;
   Gateway& gateway = *gateways_[index];
   const RequestNumber number = ++gateway.last_request;
--- a/tests/support/limited_fleet.h
+++ b/tests/support/limited_fleet.h
@@ -1,7 +1,8 @@
-/// Gateways before back ends that name rate limits, on virtual time.
+/// Simulates gateways in front of back ends that declare rate limits, on virtual time.
 ///
-/// The gateways' cores and the issuers of permits are the production ones. Messages take some
-/// milliseconds. Each engine counts by itself when requests come to it.
+/// The decision cores of the gateways and the permit issuers are the production ones. Messages take
+/// 1 to 6 ms. Each engine records the arrival times of its requests, so that the results do not
+/// depend on the counts of gateways or issuers.
 #pragma once
 
 #include <cstdint>
@@ -20,18 +21,18 @@
 
 namespace pumicemast::tests {
 
-/// Who holds the sum over all gateways.
+/// How the gateways together keep the rate limit of a back end.
 enum class LimitSharing {
-  issuer,        ///< One issuer a back end, as in production.
-  none,          ///< Nobody: each gateway keeps the whole limit.
-  equal_shares,  ///< Each gateway keeps its part by their number.
-  one_gateway,   ///< The first gateway keeps the whole limit, the others send nothing there.
+  issuer,        ///< As in production: one permit issuer per back end.
+  none,          ///< Not at all: each gateway keeps the full limit on its own.
+  equal_shares,  ///< Each gateway keeps the limit divided by their number.
+  one_gateway,   ///< The first gateway keeps the full limit; the others send no requests.
 };
 
 struct LimitedFleetOptions {
   std::size_t gateways = 7;
   std::size_t engines = 1;
-  std::size_t limited = 1;  ///< Engines that name limits.
+  std::size_t limited = 1;  ///< Engines that declare limits.
   double requests_per_s = 2;
   LimitSharing sharing = LimitSharing::issuer;
   std::uint32_t seed = 1;
@@ -40,8 +41,8 @@
 struct LimitedFleetResults {
   int sent = 0;
   int served = 0;
-  int rate_limited = 0;  ///< Refused for the limits.
-  int refused = 0;       ///< For any other reason.
+  int rate_limited = 0;  ///< Refused because of the limits.
+  int refused = 0;       ///< Refused for any other reason.
   Duration max_refusal_delay = Duration::zero();
 };
 
@@ -50,28 +51,28 @@
   explicit LimitedFleet(const LimitedFleetOptions& options);
   ~LimitedFleet();
 
-  /// What limited engines name from now on; nothing: they name none.
+  /// Sets the limit that limited engines declare in their responses; nullopt: none.
   void set_limit(std::optional<double> per_second);
-  /// The gateway's process stands still; what comes meanwhile it sees afterwards.
+  /// Freezes the gateway's process; it handles messages that arrive meanwhile afterwards.
   void freeze_gateway(std::size_t gateway, Duration length);
-  /// No messages between it and agents or engines.
+  /// Drops all messages between the gateway and agents or engines.
   void isolate_gateway(std::size_t gateway) { isolated_.insert(gateway); }
   void reconnect_gateway(std::size_t gateway) { isolated_.erase(gateway); }
-  /// The gateway's process is another one, which knows nothing.
+  /// Replaces the gateway by a new process without state.
   void restart_gateway(std::size_t gateway);
-  /// The agent beside the engine is another one, which knows nothing.
+  /// Replaces the engine's agent by a new process without state.
   void restart_agent(std::size_t engine);
-  /// The engine's process is another one: it names no limit, its agent sees that.
+  /// Replaces the engine by a new process that declares no limit; its agent detects the restart.
   void restart_engine(std::size_t engine);
   void run(Duration span);
 
   TimePoint now() const { return now_; }
-  /// The most requests that reached the engine within any window of four seconds.
+  /// Highest number of requests that reached the engine within any window of 4 s.
   int max_arrivals_in_window(std::size_t engine, TimePoint since) const;
   int arrived(std::size_t engine, TimePoint since) const;
   const LimitedFleetResults& results() const { return results_; }
   void reset_results() { results_ = {}; }
-  /// Messages about permits, of all gateways and agents.
+  /// Number of permit messages sent by all gateways and agents.
   std::uint64_t permit_messages() const { return permit_messages_; }
 
  private:
@@ -81,7 +82,7 @@
 
   void at(TimePoint time, Event event);
   void after(Duration delay, Event event) { at(now_ + delay, std::move(event)); }
-  /// Runs in the gateway's process: later if it stands still, never if it was restarted meanwhile.
+  /// Runs `event` in the gateway's process: after a freeze, but never in a restarted process.
   void at_gateway(std::size_t gateway, Duration delay, const std::function<void(Gateway&)>& event);
   Duration network_delay();
   void start_gateway(std::size_t index);
--- a/tests/support/memory_object_store.h
+++ b/tests/support/memory_object_store.h
@@ -1,4 +1,4 @@
-/// An object store in memory that answers at once, with scripted faults.
+/// An in-memory object store that answers synchronously, with scripted faults.
 #pragma once
 
 #include <deque>
@@ -7,12 +7,12 @@
 
 namespace pumicemast::tests {
 
-/// What happens to the next write.
+/// Fault of a write: refused, lost without being applied, or applied with its answer lost.
 enum class WriteFault { none, refused, lost_before, lost_after };
 
 class MemoryObjectStore : public ObjectStore {
  public:
-  /// Faults of the next writes, in order; none when empty.
+  /// Faults of the next writes, in order; writes succeed when it is empty.
   std::deque<WriteFault> faults;
   bool readable = true;
   std::uint32_t writes = 0;
--- a/tests/support/modelled_engine.h
+++ b/tests/support/modelled_engine.h
@@ -1,7 +1,7 @@
-/// An engine on virtual time that batches continuously, for tests that play load.
+/// Model of an engine with continuous batching on virtual time, for load simulations.
 ///
-/// It works in passes: it lets what waits into its batch, reads the prompts that are new there,
-/// and plays some steps; what it made leaves at the end of the pass.
+/// It works in passes: it admits waiting requests to its batch, prefills their prompts and runs
+/// several decode steps. The tokens are sent at the end of the pass.
 #pragma once
 
 #include <cstddef>
@@ -20,12 +20,12 @@
   double answer_tokens = 0;
 };
 
-/// What happened at the end of a pass.
+/// Output of one request at the end of a pass.
 struct EngineEvent {
   enum class Kind { tokens, finished };
   std::uint64_t request = 0;
   Kind kind = Kind::tokens;
-  std::uint32_t number = 0;  ///< Of the events of this request, from 1.
+  std::uint32_t number = 0;  ///< Sequence number within the request, from 1.
 };
 
 class ModelledEngine {
@@ -34,7 +34,8 @@
 
   void submit(const EngineJob& job) { waiting_.push_back({job, job.answer_tokens, 0}); }
   void cancel(std::uint64_t request);
-  /// Works until `now`; what left the engine, in order.
+  /// Runs all passes that end by `now`.
+  /// @return their events, in order.
   std::vector<EngineEvent> advance(TimePoint now);
   std::uint32_t running() const { return static_cast<std::uint32_t>(batch_.size()); }
   std::uint32_t queued() const { return static_cast<std::uint32_t>(waiting_.size()); }
--- a/tests/support/origin_outage_simulation.cpp
+++ b/tests/support/origin_outage_simulation.cpp
@@ -11,9 +11,9 @@
 constexpr Duration kStep = milliseconds(5);
 constexpr Duration kTickInterval = milliseconds(20);
 constexpr Duration kNetworkDelay = milliseconds(3);
-/// Connections to machines that are gone are reset after this.
+/// From the end of an agent until the others notice that its connections are lost.
 constexpr Duration kDisconnectDelay = milliseconds(100);
-/// Agents hear of who came and went so often.
+/// Interval at which the agents get the list of swarm members.
 constexpr Duration kMembershipInterval = milliseconds(1600);
 constexpr std::uint64_t kVersion = 2;
 
--- a/tests/support/origin_outage_simulation.h
+++ b/tests/support/origin_outage_simulation.h
@@ -1,5 +1,6 @@
-/// Agents that bring one version from a narrow origin, on virtual time: the production swarm cores
-/// before an origin with few connections that is away for a while, as machines come and go.
+/// Simulates agents that download one version from an origin with little bandwidth and few
+/// connections, on virtual time. The origin has an outage and some agents are replaced. The swarm
+/// cores are the production ones.
 #pragma once
 
 #include <cstdint>
@@ -20,14 +21,14 @@
   std::uint32_t regions = 5;
   ChunkIndex chunks = 96;
   double chunk_bytes = 24576;
-  double link_bytes_per_second = 7.3e6 / 8;  ///< Each agent's.
+  double link_bytes_per_second = 7.3e6 / 8;  ///< Uplink of each agent.
   double origin_bytes_per_second = 7.3e6 / 8;
-  /// Bytes on the origin's link for each byte of a chunk: heads, manifests, what is lost.
+  /// Bytes on the origin's link per byte of a chunk, for headers, manifests and losses.
   double origin_overhead = 1;
   std::uint32_t origin_connections = 48;
   Duration outage_start = milliseconds(2500);
   Duration outage_end = milliseconds(8500);
-  /// So many of the agents are replaced one after the other in the first seconds.
+  /// Number of agents that are replaced one after the other within `replacement_period`.
   std::uint32_t replaced_agents = 94;
   Duration replacement_period = milliseconds(4500);
   Duration max_run_time = seconds(60);
@@ -35,9 +36,12 @@
 };
 
 struct OriginOutageResult {
-  double origin_copies = 0;     ///< Whole copies that left the origin, wasted bytes included.
-  double first_complete_s = 0;  ///< After the naming; 0 when none was.
-  double half_complete_s = 0;   ///< Of those alive at the end, as all below.
+  double origin_copies = 0;  ///< Bytes that the origin sent, wasted ones included, in copies.
+  /// Times count from the start, when the agents learn of the version, and cover the agents that
+  /// are alive at the end and have all chunks; 0 if there are none. `incomplete` counts the other
+  /// ones that are alive.
+  double first_complete_s = 0;
+  double half_complete_s = 0;
   double p90_complete_s = 0;
   double last_complete_s = 0;
   std::uint32_t incomplete = 0;
@@ -56,7 +60,7 @@
     bool alive = true;
     std::unique_ptr<Swarm> swarm;
     std::deque<SendChunk> uplink;
-    double uplink_bytes_left = 0;  ///< Of the first of `uplink`.
+    double uplink_bytes_left = 0;  ///< Of the first chunk in `uplink`.
     std::uint32_t origin_failures = 0;
     std::optional<TimePoint> complete_at;
   };
@@ -74,7 +78,7 @@
   void record_completions();
   void step_uplinks();
   void at(TimePoint time, std::function<void()> event) { events_.emplace(time, std::move(event)); }
-  /// Runs something on a living agent after the network's delay.
+  /// Runs `task` on the agent after the network delay, if it is still alive.
   void send_to(PeerId peer, std::function<void(Agent&, SwarmActions&)> task);
   void with_agent(std::size_t index, const std::function<void(Agent&, SwarmActions&)>& task);
   void execute_actions(std::size_t index, const SwarmActions& actions);
--- a/tests/support/overload_simulation.cpp
+++ b/tests/support/overload_simulation.cpp
@@ -12,14 +12,14 @@
 constexpr Duration kWarmUpTime = seconds(4);
 constexpr double kUsualPromptTokens = 964;
 constexpr double kUsualAnswerTokens = 119;
-/// The shares of arrivals that the gateways get: balancers spread callers unevenly.
+/// Fractions of the arrivals that reach each gateway: load balancers distribute callers unevenly.
 constexpr double kGatewayShares[] = {0.2, 0.5, 0.3};
 
 struct Kind {
   const char* name;
   double share;
   double mean_prompt;
-  double largest_tenth;  ///< A prompt of the largest tenth has so many tokens or more.
+  double largest_tenth;  ///< Minimum tokens of a prompt of the largest tenth.
   int goal_ms;
 };
 constexpr Kind kKinds[] = {{"draft", 0.39, 1290, 2600, 400},
@@ -39,7 +39,7 @@
   return profile;
 }
 
-/// Requests a second that an engine with a full batch serves.
+/// Requests per second that an engine with a full batch serves.
 double capacity_of(const EngineProfile& profile) {
   const double prefill_ms = profile.usual_prompt_tokens * 1000 / profile.prompt_tokens_per_s;
   const double service_ms =
@@ -165,7 +165,7 @@
 }
 
 double OverloadSimulation::random_token_count(double mean, double spread, double max_tokens) {
-  // A mean of the lognormal distribution is shifted by half of its variance.
+  // The mean of a lognormal distribution is exp(mu + sigma^2 / 2).
   std::lognormal_distribution<double> sizes(std::log(mean) - spread * spread / 2, spread);
   return std::clamp(sizes(random_), 16.0, max_tokens);
 }
--- a/tests/support/overload_simulation.h
+++ b/tests/support/overload_simulation.h
@@ -1,5 +1,5 @@
-/// Gateways before engines under a seeded load on virtual time: production cores, modelled engines
-/// and callers that come back once when they are refused.
+/// Simulates gateways in front of engines under a seeded random load, on virtual time: production
+/// decision cores, modelled engines, and callers that retry once after a refusal.
 #pragma once
 
 #include <cstdint>
@@ -17,20 +17,20 @@
 
 struct OverloadOptions {
   std::uint64_t seed = 1;
-  double load = 1;  ///< Arrivals over what the engines can serve.
+  double load = 1;  ///< Arrival rate divided by the capacity of the engines.
   std::size_t engines = 4;
   Duration duration = seconds(40);
-  /// The gateways believe that engines read prompts at this rate; 0: the true one.
+  /// Prefill rate of engines in the gateways' configuration, in tokens/s; 0: the true rate.
   double configured_prompt_rate = 0;
-  bool reports_demand = true;  ///< Gateways tell agents how many requests reach them.
-  /// Callers' first attempts state any time between the route's timeout and so much less.
+  bool reports_demand = true;  ///< Gateways report their request rates to agents.
+  /// In first attempts, callers state the route's timeout less a random time of at most this.
   Duration timeout_jitter = Duration::zero();
 };
 
-/// What became of callers, counted by their first attempts.
+/// Outcomes per caller; a retry belongs to the caller of the first attempt.
 struct CallerCounts {
   std::uint64_t total = 0;
-  std::uint64_t in_time = 0;  ///< First token within the goal, from the first attempt on.
+  std::uint64_t in_time = 0;  ///< First token within the goal, counted from the first attempt.
   std::uint64_t late = 0;
   std::uint64_t unserved = 0;
   double in_time_share() const { return share(in_time); }
@@ -44,16 +44,16 @@
 
 struct OverloadResult {
   CallerCounts all;
-  CallerCounts largest_tenth;  ///< By prompt, of each kind.
+  CallerCounts largest_tenth;  ///< Callers with the largest prompts of each kind.
   std::map<std::string, CallerCounts> by_kind;
   std::map<std::size_t, CallerCounts> by_gateway;
-  /// Callers that came back and were sent to an engine within 100 ms of the refusal of a first
-  /// attempt; not counted while gateways learn how long callers wait.
+  /// Retries sent to an engine within 100 ms after the same gateway refused a first attempt. This
+  /// and the counts below leave out the warm-up, in which gateways learn the callers' timeouts.
   std::uint64_t retries_served_while_first_refused = 0;
-  std::uint64_t retries = 0;         ///< Callers that came back after that time of learning.
-  std::uint64_t recognized = 0;      ///< Of these, those that were held to come back.
-  std::uint64_t first_attempts = 0;  ///< First attempts after it.
-  std::uint64_t misclassified = 0;   ///< Of these, those that were held to come back.
+  std::uint64_t retries = 0;         ///< Second attempts.
+  std::uint64_t recognized = 0;      ///< Of these, classified as retries.
+  std::uint64_t first_attempts = 0;  ///< First attempts.
+  std::uint64_t misclassified = 0;   ///< Of these, classified as retries.
 };
 
 class OverloadSimulation {
--- a/tests/support/platform_documents.h
+++ b/tests/support/platform_documents.h
@@ -1,4 +1,4 @@
-/// Good documents of the users' platform, for tests that read or spoil them.
+/// Valid documents of the users' platform, for tests that parse or corrupt them.
 #pragma once
 
 namespace pumicemast::tests {
--- a/tests/support/retry_fleet.h
+++ b/tests/support/retry_fleet.h
@@ -1,5 +1,6 @@
-/// Gateways that share the retries of one service, on virtual time: requests and failures,
-/// processes that end and begin, agents that tell how many gateways they know, zones cut off.
+/// Simulates gateways that share the retry budget of one service, on virtual time: requests,
+/// failures, restarts of gateways, agents that report how many gateways they know, and isolated
+/// zones.
 #pragma once
 
 #include <algorithm>
@@ -15,7 +16,7 @@
 
 namespace pumicemast::tests {
 
-/// The span in which the fleet came closest to the bound of repeats, or was furthest beyond it.
+/// The window of 10 s with the most retries relative to the allowed number.
 struct RetryWindow {
   double ends_s = 0;
   int retries = 0;
@@ -24,7 +25,7 @@
 
   bool within() const { return retries <= allowed; }
   std::string to_string() const {
-    return std::to_string(retries) + " repeats in the 10 s to " + std::to_string(ends_s) +
+    return std::to_string(retries) + " retries in the 10 s to " + std::to_string(ends_s) +
            " s, for " + std::to_string(requests) + " requests; allowed " + std::to_string(allowed);
   }
 };
@@ -32,13 +33,13 @@
 class RetryFleet {
  public:
   static constexpr double kRatio = 0.2;
-  static constexpr double kEarnedRatio = 0.18;  ///< What each gateway earns, as the daemon sets it.
+  static constexpr double kEarnedRatio = 0.18;  ///< Earned by each gateway, as in production.
   static constexpr double kExtra = 232;
   static constexpr Duration kStep = milliseconds(50);
   static constexpr int kStepsPerWindow = 200;  ///< 10 s.
   static constexpr int kStepsPerSweep = 10;    ///< 500 ms.
 
-  /// @param per_zone  gateways in each zone.
+  /// @param per_zone  number of gateways in each zone.
   RetryFleet(std::uint32_t seed, const std::vector<int>& per_zone) : random_(seed) {
     zones_ = per_zone.size();
     for (std::size_t zone = 0; zone < zones_; ++zone) add(zone, per_zone[zone]);
@@ -48,7 +49,7 @@
     for (int number = 0; number < count; ++number) gateways_.push_back(make_gateway(zone));
     report_gateway_counts();
   }
-  /// The process ends and another begins in its place, which knows nothing.
+  /// Replaces the gateway by a new process without state.
   void restart(std::size_t gateway) {
     gateways_[gateway] = make_gateway(gateways_[gateway].zone);
     report_gateway_counts();
@@ -57,14 +58,14 @@
     for (Gateway& gateway : gateways_) gateway = make_gateway(gateway.zone);
     report_gateway_counts();
   }
-  /// Agents on the other side of a cut are not heard.
+  /// Cuts the zone off: agents of this zone and of other zones do not reach each other's gateways.
   void isolate_zone(std::size_t zone) { isolated_zones_.insert(zone); }
   void reconnect_zones() { isolated_zones_.clear(); }
   void disconnect_agents() { agents_connected_ = false; }
   void reconnect_agents() { agents_connected_ = true; }
-  /// @param share  of the attempts that fail from now on.
+  /// @param failure_rate  fraction of the attempts that fail from now on.
   void set_failure_rate(double failure_rate) { failure_rate_ = failure_rate; }
-  /// @param rate  of each gateway.
+  /// @param rate  requests per second of each gateway.
   void set_requests_per_s(double rate) { requests_per_s_ = rate; }
 
   void run(Duration span) {
@@ -75,8 +76,8 @@
   int failures() const { return failures_; }
   int retries() const { return count(retries_, 0, retries_.size()); }
 
-  /// Every span of 10 s: the requests are those of the span, of the one before it, or of the one
-  /// half a span before it, whichever are most.
+  /// Checks every window of 10 s. The bound uses the highest number of requests among the window
+  /// itself, the window that ends 5 s earlier and the one that ends 10 s earlier.
   RetryWindow worst_window() const {
     RetryWindow worst;
     double worst_excess = -kExtra;
@@ -114,7 +115,7 @@
     if (!agents_connected_) return;
     for (Gateway& gateway : gateways_) report_gateway_count(gateway);
   }
-  /// What the agents on the gateway's side of a cut know.
+  /// Reports the gateways that are reachable from the gateway's zone, as its agents would.
   void report_gateway_count(Gateway& gateway) {
     std::map<std::size_t, std::uint64_t> by_zone;
     std::uint64_t known = 0;
@@ -156,14 +157,14 @@
     return std::uniform_real_distribution<double>(0, 1)(random_) < probability;
   }
 
-  /// @return the sum of the steps from `from` up to, but without, `to`.
+  /// @return the sum over the steps from `first` up to, but not including, `last`.
   static int count(const std::vector<int>& steps, std::size_t first, std::size_t last) {
     int sum = 0;
     for (std::size_t step = first; step < last; ++step) sum += steps[step];
     return sum;
   }
 
-  /// The window that ends so many steps before `end`.
+  /// Number of requests in the window that ends `steps_back` steps before `end`.
   int requests_before(std::size_t end, std::size_t steps_back) const {
     if (steps_back >= end) return 0;
     const std::size_t last = end - steps_back;
@@ -190,8 +191,8 @@
   double failure_rate_ = 0;
   double requests_per_s_ = 3;
   int failures_ = 0;
-  std::vector<int> requests_;  ///< By steps.
-  std::vector<int> retries_;   ///< By steps.
+  std::vector<int> requests_;  ///< By step.
+  std::vector<int> retries_;   ///< By step.
 };
 
 }  // namespace pumicemast::tests
--- a/tests/support/scripted_server.h
+++ b/tests/support/scripted_server.h
@@ -1,4 +1,4 @@
-/// The other side of a connection, played byte by byte.
+/// A server for tests of connections that sends exactly the bytes that a test gives it.
 #pragma once
 
 #include <arpa/inet.h>
@@ -16,7 +16,7 @@
 
 namespace pumicemast::tests {
 
-/// A plain blocking listener that plays the other side byte by byte.
+/// Listens on a loopback port and handles one connection at a time. Accepting waits 1 ms at most.
 class ScriptedServer {
  public:
   ScriptedServer() {
@@ -27,8 +27,8 @@
     socklen_t length = sizeof(address);
     CPPUNIT_ASSERT_EQUAL(0, bind(listener_, reinterpret_cast<sockaddr*>(&address), length));
     CPPUNIT_ASSERT_EQUAL(0, listen(listener_, 4));
-    timeval no_wait{0, 1000};
-    setsockopt(listener_, SOL_SOCKET, SO_RCVTIMEO, &no_wait, sizeof(no_wait));
+    timeval accept_timeout{0, 1000};
+    setsockopt(listener_, SOL_SOCKET, SO_RCVTIMEO, &accept_timeout, sizeof(accept_timeout));
     CPPUNIT_ASSERT_EQUAL(0, getsockname(listener_, reinterpret_cast<sockaddr*>(&address), &length));
     port_ = ntohs(address.sin_port);
   }
@@ -38,28 +38,29 @@
   }
   Address address() const { return {"127.0.0.1", port_}; }
   void accept_one() { accepted_ = accept(listener_, nullptr, nullptr); }
-  /// Accepts if somebody has connected; does not wait.
+  /// Accepts a connection if a client has connected; waits 1 ms at most.
   bool try_accept() {
     accepted_ = accept4(listener_, nullptr, nullptr, 0);
     return accepted_ >= 0;
   }
-  /// Reads what has come of a request that ends with `end`; does not wait.
+  /// Reads the bytes that have arrived, without waiting.
+  /// @return whether the request, which ends with `end`, is complete.
   bool try_read_request(const std::string& end) {
     char buffer[512];
     const ssize_t count = recv(accepted_, buffer, sizeof(buffer), MSG_DONTWAIT);
     if (count > 0) received_.append(buffer, static_cast<std::size_t>(count));
     return received_.ends_with(end);
   }
-  /// The target of the request that was read; the next request is read anew.
+  /// Returns the target of the received request and clears the buffer for the next one.
   std::string take_request_target() {
     const std::size_t begin = received_.find(' ') + 1;
     const std::string target = received_.substr(begin, received_.find(' ', begin) - begin);
     received_.clear();
     return target;
   }
-  /// What has come and was not taken yet.
+  /// Bytes received since the last take_request_target().
   const std::string& received() const { return received_; }
-  /// Unread bytes would turn an orderly end into a reset.
+  /// Reads a request head. Closing a socket with unread bytes would reset the connection.
   void read_request() {
     std::string received;
     while (received.find("\r\n\r\n") == std::string::npos) {
@@ -73,11 +74,11 @@
     CPPUNIT_ASSERT_EQUAL(static_cast<ssize_t>(text.size()),
                          send(accepted_, text.data(), text.size(), MSG_NOSIGNAL));
   }
-  /// Whether the peer still took the bytes.
+  /// @return whether the connection still accepted the bytes.
   bool try_send_text(const std::string& text) {
     return send(accepted_, text.data(), text.size(), MSG_NOSIGNAL) > 0;
   }
-  /// Loses all that arrives from now on: nothing is acknowledged, as behind a cut.
+  /// Drops all incoming packets without acknowledgement, as in a network partition.
   void drop_incoming() {
     std::array<sock_filter, 1> program{{BPF_STMT(BPF_RET | BPF_K, 0)}};
     const sock_fprog filter{program.size(), program.data()};
--- a/tests/support/simulated_network.h
+++ b/tests/support/simulated_network.h
@@ -1,8 +1,8 @@
-/// Machines that send messages over narrow links, on virtual time.
+/// Simulates machines that exchange messages over links with little bandwidth, on virtual time.
 ///
-/// A connection is a queue without bound at its sender and a window of unacknowledged bytes, as
-/// TCP has one. The connections of a machine take turns at its uplink; regions are joined by one
-/// link each way.
+/// A connection has an unbounded send queue and a window of unacknowledged bytes, like TCP. The
+/// connections of a machine share its uplink in turn. Two regions are connected by one link in each
+/// direction.
 #pragma once
 
 #include <algorithm>
@@ -35,7 +35,7 @@
     downlink_free_.resize(regions_.size());
   }
 
-  /// Queues `bytes` behind what the connection holds already.
+  /// Appends a message of `bytes` to the send queue of the connection.
   void send(Machine from, Machine to, std::size_t bytes, std::function<void()> on_arrival) {
     Sender& sender = senders_[from];
     sender.connections[to].messages.push_back({bytes, bytes, std::move(on_arrival)});
@@ -43,11 +43,11 @@
     sender.peak_bytes = std::max(sender.peak_bytes, sender.queued_bytes);
     pump(from);
   }
-  /// Nothing leaves the machine any more; its connections stay open.
+  /// The machine sends nothing any more; its connections stay open.
   void stop_sending(Machine machine) { senders_[machine].sending_stopped = true; }
   std::size_t peak_queued_bytes(Machine machine) const { return senders_[machine].peak_bytes; }
   std::size_t queued_bytes(Machine machine) const { return senders_[machine].queued_bytes; }
-  /// Of this machine alone, in place of the options' rate.
+  /// Sets the bandwidth of this machine, in place of `machine_bytes_per_s`.
   void set_rate(Machine machine, double bytes_per_s) { rates_[machine] = bytes_per_s; }
   bool same_region(Machine one, Machine other) const { return regions_[one] == regions_[other]; }
 
@@ -59,7 +59,7 @@
     std::function<void()> on_arrival;
   };
   struct Connection {
-    std::deque<Message> messages;  ///< Those of which something has not arrived.
+    std::deque<Message> messages;  ///< Messages that have not arrived completely.
     std::size_t unacknowledged = 0;
   };
   struct Sender {
@@ -84,7 +84,7 @@
                                     [](const Message& message) { return message.unsent > 0; });
     return found == connection.messages.end() ? nullptr : &*found;
   }
-  /// The next connection in turn that may send; its receiver.
+  /// Receiver of the next connection in turn that may send, or null.
   Machine* next_receiver(Sender& sender) {
     auto position = sender.connections.upper_bound(sender.last_served);
     for (std::size_t step = 0; step < sender.connections.size(); ++step) {
--- a/tests/support/suspended_clock.cpp
+++ b/tests/support/suspended_clock.cpp
@@ -22,7 +22,8 @@
 
 }  // namespace pumicemast::tests
 
-/// Takes the place of the C library's, for the libraries too: a program's symbols go first.
+/// Overrides the function of the C library, for libraries as well: the symbols of the executable
+/// take precedence.
 extern "C" int clock_gettime(clockid_t clock, timespec* time) noexcept {
   const long failed = syscall(SYS_clock_gettime, clock, time);
   if (failed != 0) return static_cast<int>(failed);
--- a/tests/support/temporary_folder.h
+++ b/tests/support/temporary_folder.h
@@ -1,4 +1,4 @@
-/// A folder that is removed with everything in it.
+/// A temporary folder that is removed with its contents on destruction.
 #pragma once
 
 #include <cstdlib>
