--- a/tests/http/http_client_test.cpp
+++ b/tests/http/http_client_test.cpp
@@ -56,11 +56,11 @@
   void runs_no_callback_after_cancellation() {
     begin(server_.address());
     tests::run_until([&] { return server_.try_accept(); });
-    server_.say(std::string(kChunkedHead) + "3\r\nabc\r\n");
+    server_.send_text(std::string(kChunkedHead) + "3\r\nabc\r\n");
     tests::run_until([&] { return body_ == "abc"; });
     call_.reset();
     // The server sees that its connection has been reset.
-    tests::run_until([&] { return !server_.try_say("3\r\ndef\r\n"); });
+    tests::run_until([&] { return !server_.try_send_text("3\r\ndef\r\n"); });
     for (int iteration = 0; iteration < 50; ++iteration) g_main_context_iteration(nullptr, FALSE);
     CPPUNIT_ASSERT_EQUAL(std::string("abc"), body_);
     CPPUNIT_ASSERT(!ended_.has_value());
@@ -85,8 +85,8 @@
     begin(server_.address());
     tests::run_until([&] { return server_.try_accept(); });
     tests::run_until([&] { return server_.try_read_request("{}"); });
-    server_.say(response);
-    server_.end();
+    server_.send_text(response);
+    server_.close_connection();
     tests::run_until([&] { return ended_.has_value(); });
     return *ended_;
   }
--- a/tests/main.cpp
+++ b/tests/main.cpp
@@ -1,6 +1,7 @@
 /// Runs the CppUnit fixtures named on the command line, or all of them.
 ///
-/// Tests that KNOWN-RED.txt lists (named by PUMICEMAST_KNOWN_RED) are passed over and told.
+/// Skips the tests that KNOWN-RED.txt lists (PUMICEMAST_KNOWN_RED is its path) and prints their
+/// names.
 #include <cppunit/BriefTestProgressListener.h>
 #include <cppunit/CompilerOutputter.h>
 #include <cppunit/Test.h>
@@ -16,7 +17,7 @@
 
 namespace {
 
-/// Each line begins with `Fixture::test:`.
+/// Each entry of the file starts with `Fixture::test: `.
 std::set<std::string> read_known_red() {
   std::set<std::string> names;
   const char* path = std::getenv("PUMICEMAST_KNOWN_RED");
@@ -29,28 +30,29 @@
   return names;
 }
 
-/// CppUnit puts the namespace before the fixture's name.
+/// CppUnit prefixes the names of fixtures with the namespace.
 std::string without_namespace(const std::string& name) {
   const std::string prefix = "pumicemast::";
   return name.starts_with(prefix) ? name.substr(prefix.size()) : name;
 }
 
-/// @return how many tests were passed over.
-int run_but(const std::set<std::string>& known_red, CppUnit::Test& test,
-            CppUnit::TestResult& result) {
+/// Runs all tests but those in `known_red`.
+/// @return the number of skipped tests.
+int run_except(const std::set<std::string>& known_red, CppUnit::Test& test,
+               CppUnit::TestResult& result) {
   if (known_red.contains(without_namespace(test.getName()))) {
-    std::cout << "passed over, known red: " << without_namespace(test.getName()) << "\n";
+    std::cout << "skipped, listed in KNOWN-RED.txt: " << without_namespace(test.getName()) << "\n";
     return 1;
   }
   if (test.getChildTestCount() == 0) {
     test.run(&result);
     return 0;
   }
-  int passed_over = 0;
+  int skipped = 0;
   for (int child = 0; child < test.getChildTestCount(); ++child) {
-    passed_over += run_but(known_red, *test.getChildTestAt(child), result);
+    skipped += run_except(known_red, *test.getChildTestAt(child), result);
   }
-  return passed_over;
+  return skipped;
 }
 
 }  // namespace
@@ -63,19 +65,19 @@
   result.addListener(&progress);
   const std::set<std::string> known_red = read_known_red();
   CppUnit::Test* all = CppUnit::TestFactoryRegistry::getRegistry().makeTest();
-  int passed_over = 0;
-  if (argc < 2) passed_over += run_but(known_red, *all, result);
+  int skipped = 0;
+  if (argc < 2) skipped += run_except(known_red, *all, result);
   for (int index = 1; index < argc; ++index) {
     const std::string wanted = std::string("::") + argv[index];
     for (int child = 0; child < all->getChildTestCount(); ++child) {
       CppUnit::Test* fixture = all->getChildTestAt(child);
       if (fixture->getName().ends_with(wanted)) {
-        passed_over += run_but(known_red, *fixture, result);
+        skipped += run_except(known_red, *fixture, result);
       }
     }
   }
   CppUnit::CompilerOutputter outputter(&collector, std::cerr);
   outputter.write();
-  // A fixture without tests would pass unseen.
-  return collector.wasSuccessful() && collector.runTests() + passed_over > 0 ? 0 : 1;
+  // An unknown fixture, or one without tests, must not pass.
+  return collector.wasSuccessful() && collector.runTests() + skipped > 0 ? 0 : 1;
 }
--- a/tests/support/spread_network.h
+++ b/tests/support/simulated_network.h
@@ -1,8 +1,8 @@
-/// Machines that send messages over narrow links, on virtual time.
+/// Simulates machines that exchange messages over links with little bandwidth, on virtual time.
 ///
-/// A connection is a queue without bound at its sender and a window of unacknowledged bytes, as
-/// TCP has one. The connections of a machine take turns at its uplink; regions are joined by one
-/// link each way.
+/// A connection has an unbounded send queue and a window of unacknowledged bytes, like TCP. The
+/// connections of a machine share its uplink in turn. Two regions are connected by one link in each
+/// direction.
 #pragma once
 
 #include <algorithm>
@@ -17,7 +17,7 @@
 
 namespace pumicemast {
 
-class SpreadNetwork {
+class SimulatedNetwork {
  public:
   using Machine = std::size_t;
 
@@ -28,13 +28,14 @@
     Duration latency = milliseconds(1);
   };
 
-  SpreadNetwork(simulation::EventQueue& events, Options options, std::vector<std::size_t> regions)
+  SimulatedNetwork(simulation::EventQueue& events, Options options,
+                   std::vector<std::size_t> regions)
       : events_(events), options_(options), regions_(std::move(regions)) {
     senders_.resize(regions_.size());
     downlink_free_.resize(regions_.size());
   }
 
-  /// Queues `bytes` behind what the connection holds already.
+  /// Appends a message of `bytes` to the send queue of the connection.
   void send(Machine from, Machine to, std::size_t bytes, std::function<void()> on_arrival) {
     Sender& sender = senders_[from];
     sender.connections[to].messages.push_back({bytes, bytes, std::move(on_arrival)});
@@ -42,11 +43,11 @@
     sender.peak_bytes = std::max(sender.peak_bytes, sender.queued_bytes);
     pump(from);
   }
-  /// Nothing leaves the machine any more; its connections stay open.
-  void hang(Machine machine) { senders_[machine].hangs = true; }
+  /// The machine sends nothing any more; its connections stay open.
+  void stop_sending(Machine machine) { senders_[machine].sending_stopped = true; }
   std::size_t peak_queued_bytes(Machine machine) const { return senders_[machine].peak_bytes; }
   std::size_t queued_bytes(Machine machine) const { return senders_[machine].queued_bytes; }
-  /// Of this machine alone, in place of the options' rate.
+  /// Sets the bandwidth of this machine, in place of `machine_bytes_per_s`.
   void set_rate(Machine machine, double bytes_per_s) { rates_[machine] = bytes_per_s; }
   bool same_region(Machine one, Machine other) const { return regions_[one] == regions_[other]; }
 
@@ -58,14 +59,14 @@
     std::function<void()> on_arrival;
   };
   struct Connection {
-    std::deque<Message> messages;  ///< Those of which something has not arrived.
-    std::size_t in_flight = 0;
+    std::deque<Message> messages;  ///< Messages that have not arrived completely.
+    std::size_t unacknowledged = 0;
   };
   struct Sender {
     std::map<Machine, Connection> connections;
     Machine last_served = 0;
     bool busy = false;
-    bool hangs = false;
+    bool sending_stopped = false;
     std::size_t queued_bytes = 0;
     std::size_t peak_bytes = 0;
   };
@@ -78,12 +79,12 @@
     return from_seconds(static_cast<double>(bytes) / bytes_per_s);
   }
   Message* next_message(Connection& connection) const {
-    if (connection.in_flight >= options_.window_bytes) return nullptr;
+    if (connection.unacknowledged >= options_.window_bytes) return nullptr;
     const auto found = std::find_if(connection.messages.begin(), connection.messages.end(),
                                     [](const Message& message) { return message.unsent > 0; });
     return found == connection.messages.end() ? nullptr : &*found;
   }
-  /// The next connection in turn that may send; its receiver.
+  /// Receiver of the next connection in turn that may send, or null.
   Machine* next_receiver(Sender& sender) {
     auto position = sender.connections.upper_bound(sender.last_served);
     for (std::size_t step = 0; step < sender.connections.size(); ++step) {
@@ -98,7 +99,7 @@
   }
   void pump(Machine from) {
     Sender& sender = senders_[from];
-    if (sender.busy || sender.hangs) return;
+    if (sender.busy || sender.sending_stopped) return;
     const Machine* receiver = next_receiver(sender);
     if (receiver == nullptr) return;
     const Machine to = *receiver;
@@ -106,7 +107,7 @@
     Message* message = next_message(connection);
     const std::size_t bytes = std::min(kPacketBytes, message->unsent);
     message->unsent -= bytes;
-    connection.in_flight += bytes;
+    connection.unacknowledged += bytes;
     sender.queued_bytes -= bytes;
     sender.busy = true;
     events_.schedule_in(time_of(bytes, rate_of(from)), [this, from, to, bytes] {
@@ -132,7 +133,7 @@
   }
   void arrive(Machine from, Machine to, std::size_t bytes) {
     Connection& connection = senders_[from].connections[to];
-    connection.in_flight -= bytes;
+    connection.unacknowledged -= bytes;
     std::vector<std::function<void()>> arrived;
     while (bytes > 0) {
       Message& head = connection.messages.front();
