--- a/tests/processes/crash_test.py
+++ b/tests/processes/crash_test.py
@@ -10,76 +10,76 @@
 import tempfile
 import unittest
 
-from platform_standin import Runner
+from platform_standin import Backend
 from platform_test import ENGINES, ROOT, Platform, free_port
 
-ENDS_BACK_ENDS = b"ends whoever runs it"
-BACK_AFTER_S = 1.0
+CRASHING_BODY = b"ends whoever runs it"
+RESTART_DELAY_S = 1.0
 
 
-class MortalRunner(Runner):
+class CrashingBackend(Backend):
     """Ends when it begins to run the body, and is back a second later as another incarnation."""
 
     def __init__(self, platform, service, *arguments):
         super().__init__(*arguments)
         self.platform, self.service = platform, service
         self.name = self.identity
-        self.lives = 1
-        self.ends = 0
+        self.incarnations = 1
+        self.crashes = 0
         self.tasks = []
 
     async def handle(self, writer, method, target, headers, body):
-        runs_it = headers.get("x-pumicemast-expect-instance") == self.identity
-        if body == ENDS_BACK_ENDS and runs_it:
-            self.ends += 1
+        runs_here = headers.get("x-pumicemast-expect-instance") == self.identity
+        if body == CRASHING_BODY and runs_here:
+            self.crashes += 1
             await self.stop()
-            self.tasks.append(asyncio.create_task(self.come_back()))
+            self.tasks.append(asyncio.create_task(self.restart()))
             raise ConnectionError
         await super().handle(writer, method, target, headers, body)
 
-    async def come_back(self):
-        await asyncio.sleep(BACK_AFTER_S)
-        old, self.lives = self.identity, self.lives + 1
-        self.identity, self.seq = f"{self.name}-{self.lives}", 0
+    async def restart(self):
+        await asyncio.sleep(RESTART_DELAY_S)
+        old_identity, self.incarnations = self.identity, self.incarnations + 1
+        self.identity, self.seq = f"{self.name}-{self.incarnations}", 0
         await self.start()
         self.platform.register(self, self.service)
-        self.platform.store.delete("servers", old)
+        self.platform.store.delete("servers", old_identity)
 
 
-class MortalPlatform(Platform):
+class CrashingPlatform(Platform):
     """The usual fleet with back ends that may end, and a second gateway that callers reach."""
 
     async def start(self):
         await super().start()
-        for runner in [*self.plain, *self.engines]:
-            await runner.stop()
-        plain = [MortalRunner(self, "plain", f"m{n}") for n in (1, 2, 3)]
-        engines = [MortalRunner(self, "engines", f"n{n}", host, "m", 1)
+        for backend in [*self.plain, *self.engines]:
+            await backend.stop()
+        plain = [CrashingBackend(self, "plain", f"m{n}") for n in (1, 2, 3)]
+        engines = [CrashingBackend(self, "engines", f"n{n}", host, "m", 1)
                    for n, host in enumerate(ENGINES, 1)]
-        for engine, former in zip(engines, self.engines):
-            engine.port = former.port
+        for engine, replaced in zip(engines, self.engines):
+            engine.port = replaced.port
         for name in list(self.store.objects["servers"]):
             self.store.delete("servers", name)
         self.plain, self.engines = plain, engines
-        for runner in [*plain, *engines]:
-            await runner.start()
-            self.register(runner, runner.service)
+        for backend in [*plain, *engines]:
+            await backend.start()
+            self.register(backend, backend.service)
         self.second_callers = free_port()
         self.second = self.run_second_gateway()
         for host, port in self.gateways():
             await self.wait(lambda host=host, port=port: self.serves(host, port))
-            await self.wait(lambda host=host, port=port: self.answers(host, port, "/read/1"))
+            await self.wait(lambda host=host, port=port: self.responds(host, port, "/read/1"))
 
     def gateways(self):
         return [("127.0.0.1", self.callers), ("127.0.0.2", self.second_callers)]
 
     async def serves(self, host, port):
-        return await self.answers(host, port, "/chat/1")
+        return await self.responds(host, port, "/chat/1")
 
-    async def answers(self, host, port, target):
+    async def responds(self, host, port, target):
         try:
-            answered = await self.call("POST", target, host=host, port=port)
-            return answered.status == 200 and answered.whole
+            response = await self.call("POST", target, host=host, port=port)
+            return response.status == 200 and response.complete
         except OSError:
             return False
 
@@ -110,10 +110,10 @@
         self.second_ready, self.second_metrics = free_port(), free_port()
         return self.launch("gateway2", "pumicemast-gateway", self.second_settings())
 
-    def ends(self, runners):
-        return sum(runner.ends for runner in runners)
+    def crashes(self, backends):
+        return sum(backend.crashes for backend in backends)
 
-    def told(self, gateway):
+    def quarantined_fingerprints(self, gateway):
         """What a gateway said of requests in quarantine: fingerprints."""
         log = (self.folder / f"{gateway}.log").read_text(errors="replace")
         return re.findall(r"request fingerprint=([0-9a-f]{32}) state=QUARANTINED ends=\d", log)
@@ -122,79 +122,79 @@
 class CrashTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.folder = tempfile.TemporaryDirectory()
-        self.platform = MortalPlatform(self.folder.name)
+        self.platform = CrashingPlatform(self.folder.name)
         await self.platform.start()
 
     async def asyncTearDown(self):
         await self.platform.stop()
         self.folder.cleanup()
 
-    async def send_again_and_again(self, method, target, seconds):
+    async def send_repeatedly(self, method, target, seconds):
         """The same request at one gateway after the other; the statuses of its answers."""
         statuses = []
         end = asyncio.get_running_loop().time() + seconds
         while asyncio.get_running_loop().time() < end:
             host, port = self.platform.gateways()[len(statuses) % 2]
-            answered = await self.platform.call(method, target, host=host, port=port,
-                                                body=ENDS_BACK_ENDS)
-            statuses.append(answered.status if answered.whole else 0)
+            response = await self.platform.call(method, target, host=host, port=port,
+                                                body=CRASHING_BODY)
+            statuses.append(response.status if response.complete else 0)
             await asyncio.sleep(0.4)
         return statuses
 
-    async def test_a_request_that_ends_engines_is_soon_run_at_no_gateway(self):
+    async def test_a_request_that_crashes_engines_is_quarantined_at_all_gateways(self):
         platform = self.platform
-        statuses = await self.send_again_and_again("POST", "/chat/1", 8)
-        self.assertEqual(3, platform.ends(platform.engines))
+        statuses = await self.send_repeatedly("POST", "/chat/1", 8)
+        self.assertEqual(3, platform.crashes(platform.engines))
         self.assertEqual({503}, set(statuses[-5:]))
         for gateway in ("gateway", "gateway2"):
-            self.assertEqual(1, len(platform.told(gateway)))
+            self.assertEqual(1, len(platform.quarantined_fingerprints(gateway)))
         # All others are served.
         for host, port in platform.gateways():
             await platform.wait(lambda host=host, port=port: platform.serves(host, port), 5)
-        self.assertEqual(1, len(platform.told("gateway")))
+        self.assertEqual(1, len(platform.quarantined_fingerprints("gateway")))
 
-    async def test_a_request_that_ends_plain_services_is_soon_run_nowhere(self):
+    async def test_a_request_that_crashes_plain_services_is_quarantined(self):
         platform = self.platform
-        statuses = await self.send_again_and_again("POST", "/write/1", 8)
-        self.assertEqual(3, platform.ends(platform.plain))
+        statuses = await self.send_repeatedly("POST", "/write/1", 8)
+        self.assertEqual(3, platform.crashes(platform.plain))
         self.assertEqual({503}, set(statuses[-5:]))
 
-    async def test_operators_see_and_pardon_what_is_in_quarantine(self):
+    async def test_operators_list_and_pardon_quarantined_requests(self):
         platform = self.platform
-        await self.send_again_and_again("POST", "/chat/1", 5)
-        [fingerprint] = platform.told("gateway2")
+        await self.send_repeatedly("POST", "/chat/1", 5)
+        [fingerprint] = platform.quarantined_fingerprints("gateway2")
         page = await platform.call("GET", "/quarantine", host="127.0.0.2",
                                    port=platform.second_metrics)
         self.assertRegex(page.body.decode(), rf"^fingerprint={fingerprint} ends=3 held_for_s=59\d$")
         (platform.folder / "gateway2.ini").write_text(
             platform.second_settings(f"[quarantine]\npardoned={fingerprint}\n"))
         platform.second.send_signal(signal.SIGHUP)
-        ends = platform.ends(platform.engines)
+        crashes = platform.crashes(platform.engines)
         host, port = platform.gateways()[1]
 
         async def runs_again():
-            await platform.call("POST", "/chat/1", host=host, port=port, body=ENDS_BACK_ENDS)
-            return platform.ends(platform.engines) > ends
+            await platform.call("POST", "/chat/1", host=host, port=port, body=CRASHING_BODY)
+            return platform.crashes(platform.engines) > crashes
         await platform.wait(runs_again, 5)
 
-    async def test_a_gateway_that_begins_anew_knows_what_the_others_know(self):
+    async def test_a_restarted_gateway_learns_quarantined_requests_from_its_peers(self):
         platform = self.platform
-        await self.send_again_and_again("POST", "/chat/1", 5)
-        ends = platform.ends(platform.engines)
+        await self.send_repeatedly("POST", "/chat/1", 5)
+        crashes = platform.crashes(platform.engines)
         platform.second.kill()
         platform.second.wait()
         platform.second = platform.run_second_gateway()
 
-        async def knows():
+        async def knows_quarantine():
             try:
                 page = await platform.call("GET", "/quarantine", host="127.0.0.2",
                                            port=platform.second_metrics)
             except OSError:
                 return False
             return b"fingerprint=" in page.body
-        await platform.wait(knows, 5)
-        await self.send_again_and_again("POST", "/chat/1", 2)
-        self.assertEqual(ends, platform.ends(platform.engines))
+        await platform.wait(knows_quarantine, 5)
+        await self.send_repeatedly("POST", "/chat/1", 2)
+        self.assertEqual(crashes, platform.crashes(platform.engines))
 
 
 if __name__ == "__main__":
--- a/tests/processes/faults_test.py
+++ b/tests/processes/faults_test.py
@@ -22,14 +22,14 @@
     body = b'{"model": "nobody", "prompt": "hi"}'
     head = (f"POST /v1/completions HTTP/1.1\r\nHost: entry\r\nConnection: close\r\n"
             f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n").encode()
-    answer = b""
+    response = b""
     try:
         connection.sendall(head + body)
         while received := connection.recv(65536):
-            answer += received
+            response += received
     except OSError as error:
-        return answer + repr(error).encode()
-    return answer
+        return response + repr(error).encode()
+    return response
 
 
 class FaultTest(ProcessTest):
@@ -53,7 +53,7 @@
         self.addCleanup(load.kill)
         return load
 
-    def finish_load(self, load, minimum_whole=50):
+    def finish_load(self, load, minimum_complete=50):
         """Ends the load and checks what must hold whatever failed."""
         load.terminate()
         output = load.communicate(timeout=90)[0]
@@ -62,7 +62,7 @@
         for name in ("answers_lost", "answers_mixed", "answers_foreign", "answers_doubled",
                      "refused_not_run_but_ran"):
             self.assertEqual(0, figures[name], output)
-        self.assertGreaterEqual(figures["answers_whole"], minimum_whole, output)
+        self.assertGreaterEqual(figures["answers_whole"], minimum_complete, output)
         return figures
 
     def serve(self, replicas=3, floor=1):
@@ -70,12 +70,12 @@
         self.publish("v1", 1)
         self.roll_out("v1", replicas, floor)
         for entry in range(len(self.fleet.entries)):
-            fleets.wait_until(lambda: self.complete(entry=entry, max_tokens=1)[0] == 200,
+            fleets.wait_until(lambda: self.request_completion(entry=entry, max_tokens=1)[0] == 200,
                               f"entry {entry} to serve")
             fleets.wait_until(lambda: self.call("/notices/ping", {}, entry)[0] == 200,
                               f"entry {entry} to route")
 
-    def whole_answers(self, wanted):
+    def wait_for_completed(self, count):
         """Waits for that many more whole answers, measured by the entries themselves."""
         def completed():
             total = 0
@@ -89,7 +89,7 @@
                     re.MULTILINE)))
             return total
         before = completed()
-        fleets.wait_until(lambda: completed() >= before + wanted, f"{wanted} whole answers")
+        fleets.wait_until(lambda: completed() >= before + count, f"{count} whole answers")
 
     def controller(self):
         """Name of the entry that holds the lease. The entry asked may not know it yet: it reads
@@ -100,22 +100,22 @@
         fleets.wait_until(lambda: known() != "", "the controller to be known")
         return known()
 
-    def test_a_platform_outage_stops_no_serving_and_no_copies(self):
+    def test_a_platform_outage_does_not_stop_serving_or_transfers(self):
         self.serve()
         self.publish("v2", 2)
         load = self.start_load(service_share=0)
-        self.whole_answers(20)
+        self.wait_for_completed(20)
         self.fleet.ctl("create", "rollout", "forms", "v2", "max_unavailable=1")
         self.wait_for_rows("show rollouts where version=v2", 1)
         self.fleet.control(self.fleet.object_api, "outage_ms=6000&silent=1")
-        self.whole_answers(60)
+        self.wait_for_completed(60)
         refused = self.fleet.ctl("set", "target", "forms", "replicas=4", check=False)
         self.assertIn(refused.returncode, (5, 6), refused.stderr)
         self.fleet.ctl("watch", "rollout", "forms")
         figures = self.finish_load(load)
         self.assertEqual(0, figures["outcome_unknown"])
 
-    def test_claims_without_the_platform_do_not_run(self):
+    def test_non_repeatable_requests_are_refused_without_the_platform(self):
         self.serve()
         self.fleet.control(self.fleet.object_api, "outage_ms=3000")
         before = len(self.executions("a05"))
@@ -126,45 +126,46 @@
         self.assertIn("retry-after", headers)
         self.assertEqual(before, len(self.executions("a05")))
 
-    def test_a_call_whose_answer_is_lost_runs_once(self):
+    def test_a_call_whose_response_is_lost_runs_once(self):
         self.serve()
         service = self.fleet.machine("a05")["backend"]
-        once = {"X-Non-Repeatable": "true"}
+        non_repeatable = {"X-Non-Repeatable": "true"}
         for method in ("POST", "PUT", "DELETE"):
             # A first call leaves a kept-alive connection behind, on which a library may resend.
             host = self.fleet.entries[0]["callers"]
             fleets.http_call(host, method, "/notices/warm", b"{}")
             before = len(self.executions("a05"))
             self.fleet.control(service, "drop_answers=1")
-            status, headers, _ = fleets.http_call(host, method, "/notices/send", b"{}", once)
+            status, headers, _ = fleets.http_call(host, method, "/notices/send", b"{}",
+                                                  non_repeatable)
             self.assertEqual((502, "unknown"), (status, headers["X-Outcome"]), method)
             self.assertEqual(before + 1, len(self.executions("a05")), method)
 
-    def test_lost_answers_of_the_platform(self):
+    def test_lost_platform_responses(self):
         self.fleet.control(self.fleet.object_api, "lost_answers=0.3")
         self.serve()
         load = self.start_load()
         self.publish("v2", 2)
         self.roll_out("v2", max_unavailable=1)
-        self.whole_answers(40)
+        self.wait_for_completed(40)
         self.finish_load(load)
 
-    def test_an_engine_and_an_agent_die_under_load(self):
+    def test_an_engine_and_an_agent_are_killed_under_load(self):
         self.serve()
         load = self.start_load()
-        self.whole_answers(20)
+        self.wait_for_completed(20)
         first, second = [row["machine"] for row in
                          self.fleet.rows("show replicas where state=LIVE")][:2]
         self.fleet.kill(first)
-        self.whole_answers(40)
+        self.wait_for_completed(40)
         self.fleet.kill(f"{second}-backend")
-        self.whole_answers(40)
+        self.wait_for_completed(40)
         self.finish_load(load)
 
     def test_a_frozen_agent_gets_no_new_work(self):
         self.serve()
         load = self.start_load(service_share=0)
-        self.whole_answers(20)
+        self.wait_for_completed(20)
         machine = self.fleet.rows("show replicas where state=LIVE")[0]["machine"]
         os.kill(self.fleet.processes[machine].popen.pid, signal.SIGSTOP)
         try:
@@ -172,7 +173,7 @@
                 lambda: all(self.fleet.rows(f"show machines where machine={machine}", entry)[0]
                             ["state"] in ("SILENT", "LOST") for entry in self.fleet.entries),
                 "all entries to notice")
-            self.whole_answers(60)
+            self.wait_for_completed(60)
         finally:
             os.kill(self.fleet.processes[machine].popen.pid, signal.SIGCONT)
         self.finish_load(load)
@@ -189,15 +190,15 @@
                                                           others[0])) == 4, "a new controller")
         finally:
             os.kill(process.pid, signal.SIGCONT)
-        woken = next(entry for entry in self.fleet.entries if entry["name"] == frozen)
-        fleets.wait_until(lambda: self.fleet.rows("show targets", woken)[0]["replicas"] == "4",
+        resumed = next(entry for entry in self.fleet.entries if entry["name"] == frozen)
+        fleets.wait_until(lambda: self.fleet.rows("show targets", resumed)[0]["replicas"] == "4",
                           "the woken entry to catch up")
         self.fleet.ctl("set", "tenant", "probe", "rate=1")  # A change after it woke.
         self.wait_for_rows("show tenants", 1)
         for entry in self.fleet.entries:
             self.assertEqual(4, len(self.fleet.rows("show replicas where state=LIVE", entry)))
 
-    def test_operators_race_and_one_learns_of_the_other(self):
+    def test_concurrent_operator_changes_conflict(self):
         self.serve()
         results = []
         version = self.fleet.rows("show targets")[0]["object"]
@@ -222,14 +223,14 @@
     def test_an_entry_drains_and_another_takes_over(self):
         self.serve()
         load = self.start_load(service_share=0)
-        self.whole_answers(20)
+        self.wait_for_completed(20)
         name = self.controller()
         self.fleet.processes[name].stop()
         self.assertEqual(0, self.fleet.processes[name].wait())
-        left = [entry for entry in self.fleet.entries if entry["name"] != name]
-        fleets.wait_until(lambda: self.fleet.rows("show status", left[0]) and
+        remaining = [entry for entry in self.fleet.entries if entry["name"] != name]
+        fleets.wait_until(lambda: self.fleet.rows("show status", remaining[0]) and
                           {row["field"]: row["value"] for row in
-                           self.fleet.rows("show status", left[0])}["controller"]
+                           self.fleet.rows("show status", remaining[0])}["controller"]
                           .split("/")[0] != name, "another controller")
         self.finish_load(load)
 
@@ -237,7 +238,7 @@
         """Callers that come one after the other while each entry in turn is stopped: a call is
         answered whole, or its connection was refused before a byte of it was sent."""
         broken = []
-        answered = [0]
+        answered_count = [0]
 
         def keep_calling(host, port):
             while True:
@@ -246,11 +247,11 @@
                 except ConnectionRefusedError:
                     return
                 with connection:
-                    answer = exchange_once(connection)
-                if answer.startswith(b"HTTP/1.1 ") and answer.endswith(b"}"):
-                    answered[0] += 1
+                    response = exchange_once(connection)
+                if response.startswith(b"HTTP/1.1 ") and response.endswith(b"}"):
+                    answered_count[0] += 1
                 else:
-                    broken.append(answer)
+                    broken.append(response)
 
         for entry in self.fleet.entries:
             host, port = entry["callers"].split(":")
@@ -265,20 +266,20 @@
             for thread in threads:
                 thread.join()
         self.assertEqual([], broken)
-        self.assertGreater(answered[0], 100)
+        self.assertGreater(answered_count[0], 100)
 
-    def test_a_restarted_agent_recovers_what_its_engine_holds(self):
+    def test_a_restarted_agent_recovers_weights_from_its_engine(self):
         self.serve()
         row = self.fleet.rows("show replicas where state=LIVE")[0]
-        drawn = self.fleet.stats(self.fleet.origin)["chunk_bytes_out"]
+        origin_bytes = self.fleet.stats(self.fleet.origin)["chunk_bytes_out"]
         self.fleet.kill(row["machine"])
         self.fleet.start_process(row["machine"])
         fleets.wait_until(lambda: [each for each in self.fleet.rows(
             "show replicas where state=LIVE") if each["machine"] == row["machine"]],
             "the restarted agent to serve")
-        self.assertEqual(drawn, self.fleet.stats(self.fleet.origin)["chunk_bytes_out"])
+        self.assertEqual(origin_bytes, self.fleet.stats(self.fleet.origin)["chunk_bytes_out"])
 
-    def test_hostile_frames_end_only_their_connection(self):
+    def test_malformed_frames_close_only_their_connection(self):
         import struct
         self.serve()
         targets = [self.fleet.entries[0]["agents"], self.fleet.machines[0]["swarm"]]
@@ -292,7 +293,7 @@
         fleets.wait_until(lambda: b'pumicemast_entry_bad_frames_total{reason="oversize frame"}' in
                           fleets.http_call(self.fleet.entries[0]["operators"], "GET",
                                            "/metrics")[2], "the counter")
-        self.assertEqual(200, self.complete(max_tokens=1)[0])
+        self.assertEqual(200, self.request_completion(max_tokens=1)[0])
         for process in self.fleet.processes.values():
             self.assertTrue(process.alive(), process.name)
 
--- a/tests/processes/paused_callers.py
+++ b/tests/processes/paused_callers.py
@@ -10,14 +10,14 @@
 import sys
 import time
 
-ANSWER_LIMIT_S = 10
-RUN_LIMIT_S = 25
+RESPONSE_TIMEOUT_S = 10
+RUN_TIMEOUT_S = 25
 REQUEST = (b"POST /chat/1 HTTP/1.1\r\nHost: api.example\r\nX-Api-Key: nobody\r\n"
            b"X-Pumicemast-Request-Id: q1\r\nX-Pumicemast-Deadline-Ms: 5000\r\n"
            b"Content-Length: 0\r\n\r\n")
 
 
-async def read_answer(reader):
+async def read_response(reader):
     head = await reader.readuntil(b"\r\n\r\n")
     for line in head.decode("latin-1").split("\r\n"):
         name, _, value = line.partition(":")
@@ -29,12 +29,12 @@
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     try:
         writer.write(REQUEST)
-        await asyncio.wait_for(read_answer(reader), ANSWER_LIMIT_S)
+        await asyncio.wait_for(read_response(reader), RESPONSE_TIMEOUT_S)
     finally:
         writer.close()
 
 
-async def keep_calling(port, begin, result):
+async def keep_calling(port, started_at, result):
     while True:
         try:
             await call(port)
@@ -42,15 +42,15 @@
         except ConnectionRefusedError:
             return
         except (OSError, EOFError, asyncio.TimeoutError) as error:
-            result["broken"].append([round(time.monotonic() - begin, 3), repr(error)])
+            result["broken"].append([round(time.monotonic() - started_at, 3), repr(error)])
 
 
 async def main():
     port, callers = int(sys.argv[1]), int(sys.argv[2])
     result = {"answered": 0, "broken": []}
-    begin = time.monotonic()
-    calls = [keep_calling(port, begin, result) for _ in range(callers)]
-    await asyncio.wait_for(asyncio.gather(*calls), RUN_LIMIT_S)
+    started_at = time.monotonic()
+    calls = [keep_calling(port, started_at, result) for _ in range(callers)]
+    await asyncio.wait_for(asyncio.gather(*calls), RUN_TIMEOUT_S)
     print(json.dumps(result))
 
 
--- a/tests/processes/platform_standin.py
+++ b/tests/processes/platform_standin.py
@@ -22,7 +22,7 @@
 BPF_RETURN = 0x06
 
 
-def drop_what_arrives(open_socket):
+def drop_incoming_packets(open_socket):
     """Loses all further packets to the socket: not one is acknowledged, as behind a cut."""
     program = ctypes.create_string_buffer(struct.pack("HBBI", BPF_RETURN, 0, 0, 0))
     open_socket.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER,
@@ -48,7 +48,7 @@
     return method, target, headers, body
 
 
-def answer(writer, status, body=b"", headers=None):
+def send_response(writer, status, body=b"", headers=None):
     if not isinstance(body, bytes):
         body = json.dumps(body).encode()
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}"]
@@ -78,7 +78,7 @@
     def silence(self, writers):
         """These open connections go silent for good, without a reset; new ones work."""
         for writer in writers:
-            drop_what_arrives(writer.get_extra_info("socket"))
+            drop_incoming_packets(writer.get_extra_info("socket"))
         self.silenced |= set(writers)
 
     async def serve(self, reader, writer):
@@ -104,84 +104,85 @@
         super().__init__()
         self.revision = 0
         self.objects = {}
-        self.history = []
+        self.change_log = []
         self.changed = asyncio.Event()
-        self.never = asyncio.Event()  # Kept here: what waits for an event alone is collected with it.
+        self.never_set = asyncio.Event()  # Kept here: what waits for an event alone is collected with it.
         self.down = False
         self.refused_kinds = set()  # Calls for these are declined.
-        self.page = 500  # Objects that one answer lists.
-        self.lists = []  # Kinds of which a page was read, in order.
+        self.page_size = 500  # Objects that one answer lists.
+        self.listed_kinds = []  # Kinds of which a page was read, in order.
         self.mute = False  # No call is answered any more, also those that wait.
-        self.sent = []  # Kind of each object that an answer carried.
-        self.held = set()  # Kinds of which no call is answered until they are taken out.
-        self.calls = []  # Kind of each call, in order.
-        self.kind_of = {}  # Kind of the last call on each connection.
-        self.on_page = None  # Called with the names of a page that was just read.
+        self.sent_kinds = []  # Kind of each object that an answer carried.
+        self.held_kinds = set()  # Kinds of which no call is answered until they are taken out.
+        self.called_kinds = []  # Kind of each call, in order.
+        self.kind_by_connection = {}  # Kind of the last call on each connection.
+        self.on_page_sent = None  # Called with the names of a page that was just read.
         self.bytes_per_s = {}  # Of answers of a kind; others go at once.
-        self.stalls = 0  # So many of the long slow answers stop midway for good.
+        self.remaining_stalls = 0  # So many of the long slow answers stop midway for good.
 
     def put(self, kind, name, spec):
         self.revision += 1
         item = {"metadata": {"name": name, "revision": self.revision}, "spec": spec}
         self.objects.setdefault(kind, {})[name] = item
-        self.history.append((self.revision, kind, {"object": item, "gone": False}))
+        self.change_log.append((self.revision, kind, {"object": item, "gone": False}))
         self.changed.set()
 
     def delete(self, kind, name):
         self.revision += 1
         item = self.objects[kind].pop(name)
-        self.history.append((self.revision, kind, {"object": item, "gone": True}))
+        self.change_log.append((self.revision, kind, {"object": item, "gone": True}))
         self.changed.set()
 
     def silence_kind(self, kind):
         """The open connections on which this kind is followed go silent."""
-        self.silence([w for w in self.writers if self.kind_of.get(w) == kind])
+        self.silence([w for w in self.writers if self.kind_by_connection.get(w) == kind])
 
     async def handle(self, writer, method, target, headers, body):
         kind_called = urlsplit(target).path.split("/")[2]
-        self.calls.append(kind_called)
-        self.kind_of[writer] = kind_called
+        self.called_kinds.append(kind_called)
+        self.kind_by_connection[writer] = kind_called
         if self.down:
-            answer(writer, 503)
+            send_response(writer, 503)
             return
         if kind_called in self.refused_kinds:
-            answer(writer, 403)
+            send_response(writer, 403)
             return
         if self.mute:
-            await self.never.wait()
+            await self.never_set.wait()
         url = urlsplit(target)
         parts = url.path.split("/")[2:]
         query = parse_qs(url.query)
-        while parts[0] in self.held:
+        while parts[0] in self.held_kinds:
             await asyncio.sleep(0.02)
         kind = self.objects.get(parts[0], {})
         if method in ("POST", "PUT"):
-            answer(writer, *self.write(method, parts, json.loads(body)))
+            send_response(writer, *self.write(method, parts, json.loads(body)))
         elif len(parts) == 2:
             item = kind.get(parts[1])
-            self.sent.append(parts[0])
+            self.sent_kinds.append(parts[0])
             await self.send(writer, parts[0], 200 if item else 404, item or {})
         elif "watch" in query:
             await self.watch(writer, parts[0], int(query["watch"][0]), int(query["waitMs"][0]))
         else:
-            self.lists.append(parts[0])
+            self.listed_kinds.append(parts[0])
             after = query.get("afterRev", [""])[0]
             rest = [kind[name] for name in sorted(kind) if name > after]
             await self.send(writer, parts[0], 200,
-                            {"items": rest[:self.page], "more": len(rest) > self.page,
+                            {"items": rest[:self.page_size], "more": len(rest) > self.page_size,
                              "at": self.revision})
-            if self.on_page:
-                self.on_page([item["metadata"]["name"] for item in rest[:self.page]])
+            if self.on_page_sent:
+                self.on_page_sent([item["metadata"]["name"] for item in rest[:self.page_size]])
 
     def write(self, method, parts, item):
         """Creates an object, or replaces the one of the revision given: (status, object)."""
         name = item["metadata"]["name"]
-        present = self.objects.get(parts[0], {}).get(name)
-        if method == "PUT" and present is None:
+        current = self.objects.get(parts[0], {}).get(name)
+        if method == "PUT" and current is None:
             return 404, {}
         expected = item["metadata"].get("revision")
-        if present and (method == "POST" or expected not in (None, present["metadata"]["revision"])):
-            return 409, present
+        if current and (method == "POST" or
+                        expected not in (None, current["metadata"]["revision"])):
+            return 409, current
         self.put(parts[0], name, item["spec"])
         return 200, self.objects[parts[0]][name]
 
@@ -190,39 +191,39 @@
         while True:
             if writer in self.silenced:
                 await asyncio.Event().wait()
-            events = [e for r, k, e in self.history if r > since and k == kind]
-            left = deadline - asyncio.get_running_loop().time()
-            if events or left <= 0:
+            events = [e for r, k, e in self.change_log if r > since and k == kind]
+            remaining_s = deadline - asyncio.get_running_loop().time()
+            if events or remaining_s <= 0:
                 break
             self.changed.clear()
             try:
-                await asyncio.wait_for(self.changed.wait(), left)
+                await asyncio.wait_for(self.changed.wait(), remaining_s)
             except asyncio.TimeoutError:
                 pass
         if self.mute:
-            await self.never.wait()
-        self.sent += [kind] * len(events)
+            await self.never_set.wait()
+        self.sent_kinds += [kind] * len(events)
         await self.send(writer, kind, 200, {"events": events, "at": self.revision})
 
     async def send(self, writer, kind, status, content):
         """Answers, over a slow link where the kind has a rate."""
         rate = self.bytes_per_s.get(kind)
         if rate is None:
-            answer(writer, status, content)
+            send_response(writer, status, content)
             return
         body = json.dumps(content).encode()
         writer.write(f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n\r\n".encode())
         step = int(rate * 0.05)
         for begin in range(0, len(body), step):
-            if self.stalls > 0 and 2 * begin > len(body) > 50_000:
-                self.stalls -= 1
+            if self.remaining_stalls > 0 and 2 * begin > len(body) > 50_000:
+                self.remaining_stalls -= 1
                 await asyncio.Event().wait()
             writer.write(body[begin:begin + step])
             await writer.drain()
             await asyncio.sleep(0.05)
 
 
-def piece(version, number):
+def chunk_content(version, number):
     """Odd pieces are the same in every version."""
     seed = f"{number}" if number % 2 else f"{version}-{number}"
     return random.Random(seed).randbytes(CHUNK_BYTES)
@@ -232,9 +233,9 @@
     def __init__(self):
         super().__init__()
         self.newest = 1
-        self.sent = []
-        self.manifests = 0  # Answers with one.
-        self.spoil = set()
+        self.sent_chunks = []
+        self.sent_manifests = 0  # Answers with one.
+        self.corrupt_once = set()
 
     async def handle(self, writer, method, target, headers, body):
         url = urlsplit(target)
@@ -242,21 +243,22 @@
         version = int(query.get("version", [self.newest])[0])
         _, action, model = url.path.split("/")
         if action == "manifest":
-            self.manifests += 1
-            digests = [hashlib.sha256(piece(version, n)).hexdigest() for n in range(CHUNKS)]
-            answer(writer, 200, {"model": model, "version": version, "chunkBytes": CHUNK_BYTES,
-                                 "layers": LAYERS, "digests": digests})
+            self.sent_manifests += 1
+            digests = [hashlib.sha256(chunk_content(version, n)).hexdigest() for n in range(CHUNKS)]
+            send_response(writer, 200,
+                          {"model": model, "version": version, "chunkBytes": CHUNK_BYTES,
+                           "layers": LAYERS, "digests": digests})
             return
         number = int(query["num"][0])
-        self.sent.append((version, number))
-        data = piece(version, number)
-        if (version, number) in self.spoil:
-            self.spoil.discard((version, number))
+        self.sent_chunks.append((version, number))
+        data = chunk_content(version, number)
+        if (version, number) in self.corrupt_once:
+            self.corrupt_once.discard((version, number))
             data = b"x" + data[1:]
-        answer(writer, 200, data)
+        send_response(writer, 200, data)
 
 
-class Runner(Server):
+class Backend(Server):
     """Plays an engine (with weights) or a plain service."""
 
     def __init__(self, identity, host="127.0.0.1", model=None, version=0):
@@ -264,10 +266,10 @@
         self.identity = identity
         self.model = model
         self.version = version
-        self.staged = {n: piece(version, n) for n in range(CHUNKS)} if version else {}
+        self.staged = {n: chunk_content(version, n) for n in range(CHUNKS)} if version else {}
         self.orders = []
         self.seq = 0  # Orders taken in this incarnation.
-        self.taken = []  # What lay there when an order was taken.
+        self.activated_chunks = []  # What lay there when an order was taken.
         self.requests = []  # Headers of what it ran.
         self.mode = "whole"
         self.event_gap = 0.02
@@ -282,18 +284,18 @@
         url = urlsplit(target)
         query = parse_qs(url.query)
         if url.path == "/report":
-            await self.answer_report(writer)
+            await self.handle_report(writer)
         elif url.path.startswith("/stage-put/"):
             self.stage(int(query["num"][0]), body)
-            answer(writer, 200)
+            send_response(writer, 200)
         elif url.path.startswith("/stage-get/"):
             if "num" not in query:
-                answer(writer, 200, {"held": sorted(self.staged)})
+                send_response(writer, 200, {"held": sorted(self.staged)})
             else:
                 held = self.staged.get(int(query["num"][0]))
-                answer(writer, 404 if held is None else 200, held or b"")
+                send_response(writer, 404 if held is None else 200, held or b"")
         elif url.path == "/order":
-            await self.answer_order(writer, json.loads(body))
+            await self.handle_order(writer, json.loads(body))
         else:
             await self.run(writer, method, target, headers)
 
@@ -304,30 +306,30 @@
                 "layers": layers if self.version else None, "busy": False,
                 "seq": self.seq, "queued": 0, "running": 0, "pace": 1.0}
 
-    def expects_another_seq(self, order):
+    def is_stale(self, order):
         return order.get("expectedRev", self.seq) != self.seq
 
-    def take(self, order):
+    def activate(self, order):
         """Takes what lies there; returns the status of the answer."""
-        if self.expects_another_seq(order):
+        if self.is_stale(order):
             return 409
         self.seq += 1
         self.orders.append(order)
-        self.taken.append(dict(self.staged))
+        self.activated_chunks.append(dict(self.staged))
         self.version = order["version"]
         return 202
 
     # What others that play a runner may do in their own way.
-    async def answer_report(self, writer):
-        answer(writer, 200, self.report())
+    async def handle_report(self, writer):
+        send_response(writer, 200, self.report())
 
-    async def answer_order(self, writer, order):
-        answer(writer, self.take(order))
+    async def handle_order(self, writer, order):
+        send_response(writer, self.activate(order))
 
     def stage(self, number, data):
         self.staged[number] = data
 
-    def on_begun(self, headers):
+    def on_request_started(self, headers):
         """A request begins to run."""
 
     def plain_body(self, headers):
@@ -338,18 +340,19 @@
 
     async def run(self, writer, method, target, headers):
         if headers.get("x-pumicemast-expect-instance") != self.identity:
-            answer(writer, 421, b"", {"X-Pumicemast-Instance-Id": self.identity})
+            send_response(writer, 421, b"", {"X-Pumicemast-Instance-Id": self.identity})
             return
         if self.mode == "shed":
-            answer(writer, 503, b"", self.head(headers, {"X-Pumicemast-Not-Executed": 1}.items()))
+            send_response(writer, 503, b"",
+                          self.head(headers, {"X-Pumicemast-Not-Executed": 1}.items()))
             return
         self.requests.append(headers)
-        self.on_begun(headers)
+        self.on_request_started(headers)
         if self.mode == "lost":
             writer.transport.abort()
             raise ConnectionError
         if self.model is None:
-            answer(writer, 200, self.plain_body(headers), self.head(headers))
+            send_response(writer, 200, self.plain_body(headers), self.head(headers))
             return
         fields = self.head(headers, {"Content-Type": "text/event-stream",
                                      "Transfer-Encoding": "chunked"}.items())
--- a/tests/processes/platform_test.py
+++ b/tests/processes/platform_test.py
@@ -16,8 +16,8 @@
 import unittest
 from pathlib import Path
 
-from platform_standin import CHUNKS, Origin, Runner, Store, piece
-from process_test import known_red
+from platform_standin import CHUNKS, Origin, Backend, Store, chunk_content
+from process_test import known_failures
 
 ROOT = Path(__file__).resolve().parents[2]
 BUILD = Path(sys.argv[1]) if len(sys.argv) > 1 else ROOT / "build"
@@ -30,11 +30,11 @@
         return listener.getsockname()[1]
 
 
-class Answer:
+class Response:
     """A response, read whole unless its connection broke."""
 
-    def __init__(self, status, headers, body, whole):
-        self.status, self.headers, self.body, self.whole = status, headers, body, whole
+    def __init__(self, status, headers, body, complete):
+        self.status, self.headers, self.body, self.complete = status, headers, body, complete
 
 
 class Platform:
@@ -50,21 +50,21 @@
 
     async def start(self):
         self.store, self.origin = Store(), Origin()
-        self.plain = [Runner("p1"), Runner("p2")]
-        self.engines = [Runner("e1", ENGINES[0], "m", 1), Runner("e2", ENGINES[1], "m", 1)]
+        self.plain = [Backend("p1"), Backend("p2")]
+        self.engines = [Backend("e1", ENGINES[0], "m", 1), Backend("e2", ENGINES[1], "m", 1)]
         for server in [self.store, self.origin, *self.plain, *self.engines]:
             await server.start()
         self.internal = free_port()
         self.configure(1)
-        for runner in self.plain:
-            self.register(runner, "plain")
-        for runner in self.engines:
-            self.register(runner, "engines")
-        for index, runner in enumerate(self.engines):
-            self.run_host(index, runner)
+        for backend in self.plain:
+            self.register(backend, "plain")
+        for backend in self.engines:
+            self.register(backend, "engines")
+        for index, backend in enumerate(self.engines):
+            self.run_host(index, backend)
         self.gateway = self.run_gateway()
         await self.wait(self.ready)
-        await self.wait(self.engines_known)
+        await self.wait(self.engines_answer)
 
     def configure(self, version, extra=(), header_timeout_ms=3000):
         routes = [self.route("/chat/", "stream", "engines", 2, resumable=True),
@@ -77,8 +77,8 @@
                     {"name": "origin", "origin": f"127.0.0.1:{self.origin.port}", "maxConns": 9}]
         self.store.put("config", "main", {
             "version": version, "routes": routes, "services": services,
-            "limits": {"maxHeaderBytes": 4096, "maxBodyBytes": 65536, "headerTimeoutMs": header_timeout_ms,
-                       "idleTimeoutMs": 15000},
+            "limits": {"maxHeaderBytes": 4096, "maxBodyBytes": 65536,
+                       "headerTimeoutMs": header_timeout_ms, "idleTimeoutMs": 15000},
             "tenants": [{"name": "acme", "apiKeys": ["key"]}]})
 
     @staticmethod
@@ -87,9 +87,9 @@
                 "timeoutMs": 5000, "goalMs": 1000, "gapGoalMs": 1000, "priority": 1,
                 "service": service, "attempts": attempts, "public": False, "resumable": resumable}
 
-    def register(self, runner, service, state="ready"):
-        self.store.put("servers", runner.identity, {
-            "service": service, "address": f"{runner.host}:{runner.port}", "zone": "z1",
+    def register(self, backend, service, state="ready"):
+        self.store.put("servers", backend.identity, {
+            "service": service, "address": f"{backend.host}:{backend.port}", "zone": "z1",
             "slots": self.slots, "state": state, "models": [], "layers": None})
 
     def launch(self, name, program, settings, stdout=None):
@@ -101,7 +101,7 @@
         self.processes.append(process)
         return process
 
-    def run_host(self, index, runner):
+    def run_host(self, index, backend):
         return self.launch(f"host{index}", "pumicemast-host", f"""
 [process]
 name=host{index}
@@ -110,10 +110,10 @@
 charts={ROOT}/charts
 regions=z1:r1;
 [listen]
-internal={runner.host}:{self.internal}
-metrics={runner.host}:{free_port()}
+internal={backend.host}:{self.internal}
+metrics={backend.host}:{free_port()}
 [engine]
-address={runner.host}:{runner.port}
+address={backend.host}:{backend.port}
 service=engines
 report_interval_ms=50
 [weights]
@@ -178,8 +178,8 @@
 
     async def second_is_ready(self):
         try:
-            answered = await self.call("GET", "/ready", port=self.second_ready, host="127.0.0.2")
-            return answered.status == 200
+            response = await self.call("GET", "/ready", port=self.second_ready, host="127.0.0.2")
+            return response.status == 200
         except OSError:
             return False
 
@@ -214,12 +214,12 @@
         lines = [f"{method} {target} HTTP/1.1"] + [f"{n}: {v}" for n, v in fields.items()]
         writer.write(("\r\n".join(lines) + "\r\n\r\n").encode() + body)
         try:
-            return await asyncio.wait_for(self.read_answer(reader, on_event), 10)
+            return await asyncio.wait_for(self.read_response(reader, on_event), 10)
         finally:
             writer.close()
 
     @staticmethod
-    async def read_answer(reader, on_event):
+    async def read_response(reader, on_event):
         status = int((await reader.readline()).split()[1])
         headers = {}
         while (line := (await reader.readline()).decode().strip()):
@@ -236,9 +236,9 @@
                 await reader.readexactly(2)
             else:
                 body = await reader.readexactly(int(headers["content-length"]))
-            return Answer(status, headers, body, True)
+            return Response(status, headers, body, True)
         except (ConnectionError, asyncio.IncompleteReadError, ValueError):
-            return Answer(status, headers, body, False)
+            return Response(status, headers, body, False)
 
     async def ready(self):
         try:
@@ -246,7 +246,7 @@
         except OSError:
             return False
 
-    async def engines_known(self):
+    async def engines_answer(self):
         return (await self.call("POST", "/chat/1")).status == 200
 
     async def wait(self, condition, limit=20):
@@ -259,25 +259,25 @@
                 return
             if asyncio.get_running_loop().time() > end:
                 raise AssertionError(
-                    f"{condition} did not come true in {limit} s{self.ended_processes()}")
+                    f"{condition} did not come true in {limit} s{self.describe_exited_processes()}")
             await asyncio.sleep(0.05)
 
-    def ended_processes(self):
+    def describe_exited_processes(self):
         """What processes that ended by themselves said last."""
-        ended = [p for p in self.processes if p.poll() is not None]
+        exited = [p for p in self.processes if p.poll() is not None]
         logs = sorted(self.folder.glob("*.log"))
-        lines = [f"; {len(ended)} of {len(self.processes)} processes ended"]
-        if ended:
+        lines = [f"; {len(exited)} of {len(self.processes)} processes ended"]
+        if exited:
             lines += [f"{log.name}: {log.read_text(errors='replace')[-600:]}" for log in logs]
         return "\n".join(lines)
 
 
-WHOLE = b"".join(b"id: %d\ndata: token %d\n\n" % (n, n) for n in range(1, 11))
+COMPLETE_STREAM = b"".join(b"id: %d\ndata: token %d\n\n" % (n, n) for n in range(1, 11))
 
 
 class PlatformTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        if f"platform_test.{type(self).__name__}.{self._testMethodName}" in known_red():
+        if f"platform_test.{type(self).__name__}.{self._testMethodName}" in known_failures():
             self.skipTest("listed in KNOWN-RED.txt")
         self.folder = tempfile.TemporaryDirectory()
         self.platform = Platform(self.folder.name)
@@ -287,30 +287,32 @@
         await self.platform.stop()
         self.folder.cleanup()
 
-    async def test_requests_are_served_whole_by_the_named_instance(self):
-        answer = await self.platform.call("POST", "/chat/1")
-        self.assertEqual((200, WHOLE, True), (answer.status, answer.body, answer.whole))
-        self.assertTrue(answer.headers["x-pumicemast-response-signature"].startswith("sig-e"))
-        answer = await self.platform.call("GET", "/read/1")
-        self.assertEqual(200, answer.status)
+    async def test_requests_are_served_completely_by_the_expected_instance(self):
+        response = await self.platform.call("POST", "/chat/1")
+        self.assertEqual((200, COMPLETE_STREAM, True),
+                         (response.status, response.body, response.complete))
+        self.assertTrue(response.headers["x-pumicemast-response-signature"].startswith("sig-e"))
+        response = await self.platform.call("GET", "/read/1")
+        self.assertEqual(200, response.status)
         ran = next(r for p in self.platform.plain for r in p.requests)
         self.assertEqual("acme", ran["x-pumicemast-tenant"])
         self.assertNotIn("x-api-key", ran)
         self.assertLessEqual(int(ran["x-pumicemast-deadline-ms"]), 5000)
 
     async def test_keys_routes_and_a_new_configuration(self):
-        self.assertEqual(401, (await self.platform.call("GET", "/read/1", {"X-Api-Key": "x"})).status)
+        self.assertEqual(
+            401, (await self.platform.call("GET", "/read/1", {"X-Api-Key": "x"})).status)
         self.assertEqual(404, (await self.platform.call("GET", "/new/1")).status)
         self.platform.configure(2, [Platform.route("/new/", "safe", "plain", 2)])
 
-        async def in_force():
+        async def route_exists():
             return (await self.platform.call("GET", "/new/1")).status == 200
-        await self.platform.wait(in_force, 2)
+        await self.platform.wait(route_exists, 2)
         self.platform.configure(1)  # An older one never comes back into force.
         await asyncio.sleep(0.6)
         self.assertEqual(200, (await self.platform.call("GET", "/new/1")).status)
 
-    async def in_force(self, prefix):
+    async def route_exists(self, prefix):
         return (await self.platform.call("GET", f"/{prefix}/x")).status != 404
 
     async def test_configurations_in_quick_succession_are_read_one_state_at_a_time(self):
@@ -318,14 +320,14 @@
         store = platform.store
         await platform.ready()
         await asyncio.sleep(1.2)
-        store.sent.clear()
+        store.sent_kinds.clear()
         for version in range(10, 50):
             extra = [platform.route(f"/new{version}/", "safe", "plain", 1)]
             platform.configure(version, extra=extra)
             await asyncio.sleep(0.05)
-        await platform.wait(lambda: self.in_force("new49"), limit=2)
+        await platform.wait(lambda: self.route_exists("new49"), limit=2)
         # One answer with each of 40 versions would be 40.
-        self.assertLessEqual(store.sent.count("config"), 10)
+        self.assertLessEqual(store.sent_kinds.count("config"), 10)
 
     async def test_a_large_configuration_is_fetched_from_another_gateway(self):
         platform = self.platform
@@ -346,16 +348,16 @@
         document = len(json.dumps(platform.store.objects["config"]["main"]["spec"]))
         self.assertGreater(sent, document / 2)  # It was not the store that brought it.
         self.assertLess(sent, 2.5 * document)
-        told = re.compile(rf"version=3 source=gateway from=127.0.0.1:{platform.internal} "
+        pattern = re.compile(rf"version=3 source=gateway from=127.0.0.1:{platform.internal} "
                           r"bytes=\d+ lag_ms=\d+ routes=3004 state=IN_FORCE")
         log = platform.folder / "gateway2.log"
-        await platform.wait(lambda: told.search(log.read_text()), limit=3)
+        await platform.wait(lambda: pattern.search(log.read_text()), limit=3)
 
     # What users saw: routes of a new configuration were not found for seconds after it was
     # acknowledged. Order of events: a document of several hundred KB is read over a full link; the
     # reading is given up after a fixed time, and begins anew. Cause: the limit was one for the whole
     # answer, also while it came in.
-    async def test_a_large_configuration_comes_over_a_slow_link_after_quick_changes(self):
+    async def test_a_large_configuration_is_read_over_a_slow_link_after_quick_changes(self):
         platform = self.platform
         platform.store.bytes_per_s["config"] = 400_000
         # Changes in quick succession are read as states, not as events.
@@ -363,9 +365,9 @@
             platform.configure(version, extra=[platform.route("/new/", "safe", "plain", 1)])
             await asyncio.sleep(0.3)
         platform.configure(4, extra=platform.many_routes(4000))  # 900 KB, 2.2 s.
-        await platform.wait(lambda: self.in_force("many/03999"), limit=5)
+        await platform.wait(lambda: self.route_exists("many/03999"), limit=5)
 
-    async def test_a_large_configuration_comes_over_a_slow_link_at_the_start(self):
+    async def test_a_large_configuration_is_read_over_a_slow_link_at_the_start(self):
         platform = self.platform
         platform.configure(2, extra=platform.many_routes(4000))
         platform.store.bytes_per_s["config"] = 400_000
@@ -381,12 +383,12 @@
         for host in platform.processes[:2]:
             host.kill()
         platform.configure(2, extra=platform.many_routes(4000))
-        await platform.wait(lambda: self.in_force("many/03999"), limit=3)
-        platform.store.sent.clear()
+        await platform.wait(lambda: self.route_exists("many/03999"), limit=3)
+        platform.store.sent_kinds.clear()
         platform.store.bytes_per_s["config"] = 400_000
         platform.run_host(0, platform.engines[0])
         await asyncio.sleep(6)
-        self.assertEqual(1, platform.store.sent.count("config"))
+        self.assertEqual(1, platform.store.sent_kinds.count("config"))
 
     # What users saw: a gateway ended over its memory limit while configurations came in. Order of
     # events: an answer of the watch is held up, and then carries all versions since. Cause: the tree
@@ -394,26 +396,26 @@
     async def test_many_large_versions_in_one_answer_take_little_memory(self):
         platform = self.platform
         await asyncio.sleep(0.5)
-        platform.store.held.add("config")
+        platform.store.held_kinds.add("config")
         for version in range(2, 17):
             platform.configure(version, extra=platform.many_routes(4000))  # 900 KB each.
         await asyncio.sleep(0.5)
-        platform.store.held.clear()
-        await platform.wait(lambda: self.in_force("many/03999"), limit=5)
+        platform.store.held_kinds.clear()
+        await platform.wait(lambda: self.route_exists("many/03999"), limit=5)
         status = Path(f"/proc/{platform.gateway.pid}/status").read_text()
         peak_kb = int(re.search(r"VmHWM:\s+(\d+) kB", status).group(1))
         self.assertLess(peak_kb, 64_000)
 
-    async def test_a_store_that_falls_silent_in_an_answer_is_asked_anew(self):
+    async def test_a_store_response_that_stalls_midway_is_requested_again(self):
         platform = self.platform
         platform.store.bytes_per_s["config"] = 400_000
-        platform.store.stalls = 1
+        platform.store.remaining_stalls = 1
         for version in (2, 3):
             platform.configure(version, extra=[platform.route("/new/", "safe", "plain", 1)])
             await asyncio.sleep(0.3)
         platform.configure(4, extra=platform.many_routes(1000))
-        await platform.wait(lambda: self.in_force("many/00999"), limit=6)
-        self.assertEqual(0, platform.store.stalls)
+        await platform.wait(lambda: self.route_exists("many/00999"), limit=6)
+        self.assertEqual(0, platform.store.remaining_stalls)
 
     async def test_a_watch_that_was_lost_with_the_store_is_renewed(self):
         platform = self.platform
@@ -424,7 +426,7 @@
         platform.configure(2, extra=[platform.route("/new/", "safe", "plain", 1)])
         await asyncio.sleep(3)
         platform.store.mute = False
-        await platform.wait(lambda: self.in_force("new"), limit=3)
+        await platform.wait(lambda: self.route_exists("new"), limit=3)
 
     def gateway_log(self):
         return (Path(self.folder.name) / "gateway.log").read_text()
@@ -432,43 +434,43 @@
     # Engines worked on old weights for seconds after new ones were named: the connection of one
     # watch had gone silent while new connections worked, and nothing but the end of the call's
     # time (8.7 s) showed it.
-    async def test_a_versions_watch_that_alone_goes_silent_is_noticed_soon(self):
+    async def test_a_silent_versions_watch_is_detected_soon(self):
         store = self.platform.store
         await asyncio.sleep(1)
         store.silence_kind("versions")
-        store.calls.clear()
+        store.called_kinds.clear()
         await asyncio.sleep(0.2)
         store.put("versions", "m", {"model": "m", "version": 2})
         await self.platform.wait(lambda: "weights model=m version=2" in self.gateway_log(), 4)
         # The two agents read old lists, every 2 s; the rest are the gateway's, which are priced.
-        self.assertLessEqual(store.calls.count("versions"), 2 * 3 + 3)
+        self.assertLessEqual(store.called_kinds.count("versions"), 2 * 3 + 3)
 
     # New routes answered 404 for seconds: the same, with the watch of the configuration.
-    async def test_a_configuration_watch_that_alone_goes_silent_is_noticed_soon(self):
+    async def test_a_silent_configuration_watch_is_detected_soon(self):
         platform = self.platform
         await asyncio.sleep(1)
         platform.store.silence_kind("config")
         await asyncio.sleep(0.2)
         platform.configure(2, extra=[platform.route("/new/", "safe", "plain", 1)])
-        await platform.wait(lambda: self.in_force("new"), limit=4)
+        await platform.wait(lambda: self.route_exists("new"), limit=4)
 
     # Requests that can't be repeated failed: they were sent on a kept connection that had gone
     # silent while it rested, and so looked sent.
-    async def test_a_kept_connection_that_goes_silent_takes_no_request(self):
+    async def test_a_silent_idle_connection_is_not_reused(self):
         platform = self.platform
         for _ in range(6):
             self.assertEqual(200, (await platform.call("GET", "/read/1")).status)
         await asyncio.sleep(0.3)  # All is acknowledged: else a runner would send again what was not.
-        for runner in platform.plain:
-            self.assertTrue(runner.writers)
-            runner.silence(runner.writers)
+        for backend in platform.plain:
+            self.assertTrue(backend.writers)
+            backend.silence(backend.writers)
         await asyncio.sleep(2.5)
         for _ in range(4):
             self.assertEqual(200, (await platform.call("POST", "/write/1")).status)
 
     # Requests began on old weights after the time that is allowed: a version that the first
     # answer after a loss told was taken as named at that moment, and not during the loss.
-    async def test_a_version_named_while_the_store_was_lost_is_not_taken_as_new(self):
+    async def test_a_version_named_during_a_store_outage_is_not_treated_as_new(self):
         platform = self.platform
         await asyncio.sleep(1)
         platform.store.mute = True
@@ -476,45 +478,45 @@
         platform.store.put("versions", "m", {"model": "m", "version": 2})
         await asyncio.sleep(5)
         platform.store.mute = False
-        told = re.compile(r"weights model=m version=2 age_ms=\d+ assumed=(\w+)")
-        await platform.wait(lambda: told.search(self.gateway_log()), 12)
-        self.assertEqual("yes", told.search(self.gateway_log()).group(1))
-
-    async def test_an_unsafe_request_whose_answer_is_lost_runs_once(self):
-        for runner in self.platform.plain:
-            runner.mode = "lost"
-        answer = await self.platform.call("POST", "/write/1")
-        self.assertEqual(502, answer.status)
-        self.assertEqual(1, sum(len(runner.requests) for runner in self.platform.plain))
-
-    async def test_a_refused_request_is_told_when_to_come_back(self):
-        for runner in self.platform.plain:
-            runner.mode = "shed"
-        answer = await self.platform.call("POST", "/write/1")
-        self.assertEqual(503, answer.status)
-        self.assertGreater(float(answer.headers["retry-after"]), 0)
-        self.assertEqual(0, sum(len(runner.requests) for runner in self.platform.plain))
-
-    async def test_a_broken_stream_goes_on_at_another_engine(self):
-        for runner in self.platform.engines:
-            runner.mode = "break"
-        answer = await self.platform.call("POST", "/chat/1")
+        pattern = re.compile(r"weights model=m version=2 age_ms=\d+ assumed=(\w+)")
+        await platform.wait(lambda: pattern.search(self.gateway_log()), 12)
+        self.assertEqual("yes", pattern.search(self.gateway_log()).group(1))
+
+    async def test_an_unsafe_request_whose_response_is_lost_runs_once(self):
+        for backend in self.platform.plain:
+            backend.mode = "lost"
+        response = await self.platform.call("POST", "/write/1")
+        self.assertEqual(502, response.status)
+        self.assertEqual(1, sum(len(backend.requests) for backend in self.platform.plain))
+
+    async def test_a_refused_request_gets_a_retry_after_header(self):
+        for backend in self.platform.plain:
+            backend.mode = "shed"
+        response = await self.platform.call("POST", "/write/1")
+        self.assertEqual(503, response.status)
+        self.assertGreater(float(response.headers["retry-after"]), 0)
+        self.assertEqual(0, sum(len(backend.requests) for backend in self.platform.plain))
+
+    async def test_a_broken_stream_is_resumed_at_another_engine(self):
+        for backend in self.platform.engines:
+            backend.mode = "break"
+        response = await self.platform.call("POST", "/chat/1")
         resumed = [r for e in self.platform.engines for r in e.requests if "last-event-id" in r]
         self.assertEqual("3", resumed[0]["last-event-id"])
         # The second one breaks as well: no attempt is left, and the answer must look broken.
-        self.assertFalse(answer.whole)
+        self.assertFalse(response.complete)
 
-    async def test_a_stream_broken_once_is_whole_in_the_end(self):
+    async def test_a_stream_broken_once_is_resumed_completely(self):
         broken = self.platform.engines[0]
 
         async def resumed_once():
             broken.mode = "break"
-            answer = await self.platform.call("POST", "/chat/1")
-            self.assertEqual((True, WHOLE), (answer.whole, answer.body))
+            response = await self.platform.call("POST", "/chat/1")
+            self.assertEqual((True, COMPLETE_STREAM), (response.complete, response.body))
             return any("last-event-id" in r for r in self.platform.engines[1].requests)
         await self.platform.wait(resumed_once)
 
-    async def test_a_draining_back_end_gets_nothing_new(self):
+    async def test_a_draining_back_end_gets_no_new_requests(self):
         self.platform.register(self.platform.plain[0], "plain", "draining")
         await asyncio.sleep(1.5)
         before = len(self.platform.plain[0].requests)
@@ -522,16 +524,16 @@
             self.assertEqual(200, (await self.platform.call("GET", "/read/1")).status)
         self.assertEqual(before, len(self.platform.plain[0].requests))
 
-    async def test_agents_read_lists_of_several_pages_whole(self):
+    async def test_agents_read_all_pages_of_a_list(self):
         """Without a gateway that tells them what it read, they read the store themselves."""
         self.platform.gateway.send_signal(signal.SIGTERM)
         await self.platform.wait(lambda: self.platform.gateway.poll() is not None, 8)
-        self.platform.store.page = 1
-        listed = len(self.platform.store.lists)
+        self.platform.store.page_size = 1
+        listed = len(self.platform.store.listed_kinds)
 
-        async def both_read_runners_again():
-            return self.platform.store.lists[listed:].count("servers") >= 2 * len(ENGINES)
-        await self.platform.wait(both_read_runners_again, 15)
+        async def both_read_backends_again():
+            return self.platform.store.listed_kinds[listed:].count("servers") >= 2 * len(ENGINES)
+        await self.platform.wait(both_read_backends_again, 15)
         self.platform.origin.newest = 2
         self.platform.store.put("versions", "m", {"model": "m", "version": 2})
         await self.platform.wait(lambda: all(e.version == 2 for e in self.platform.engines), 20)
@@ -539,16 +541,16 @@
             log = (Path(self.folder.name) / f"host{index}.log").read_bytes()
             self.assertIn(b"version=2 held=4 of=8 peers=2", log)
 
-    async def test_agents_leave_the_store_alone_while_a_gateway_tells_them(self):
+    async def test_agents_do_not_poll_the_store_while_a_gateway_relays_changes(self):
         """Each read the whole list every two seconds; the links to the store were full of it."""
         await asyncio.sleep(1)
-        listed = len(self.platform.store.lists)
+        listed = len(self.platform.store.listed_kinds)
         await asyncio.sleep(6)
-        self.assertEqual(0, self.platform.store.lists[listed:].count("servers"))
+        self.assertEqual(0, self.platform.store.listed_kinds[listed:].count("servers"))
         # What changes reaches them all the same: an engine more takes part in the next version.
-        joining = self.platform.engines[0]
+        added = self.platform.engines[0]
         self.platform.store.put("servers", "i-joining", {
-            "service": "engines", "address": f"127.0.0.77:{joining.port}", "zone": "z1",
+            "service": "engines", "address": f"127.0.0.77:{added.port}", "zone": "z1",
             "slots": 4, "state": "ready", "models": [], "layers": None})
         await asyncio.sleep(2)
         self.platform.origin.newest = 2
@@ -559,45 +561,46 @@
             self.assertIn(b"version=2 held=4 of=8 peers=3", log)
 
     async def test_a_change_between_two_pages_of_a_list_is_not_missed(self):
-        self.platform.store.page = 1
+        self.platform.store.page_size = 1
 
         def drain_once_read(names):
             if names == ["p1"]:
-                self.platform.store.on_page = None
+                self.platform.store.on_page_sent = None
                 self.platform.register(self.platform.plain[0], "plain", "draining")
         os.kill(self.platform.gateway.pid, signal.SIGKILL)
         self.platform.gateway.wait()
-        self.platform.store.on_page = drain_once_read
+        self.platform.store.on_page_sent = drain_once_read
         self.platform.gateway = self.platform.run_gateway()
         await self.platform.wait(self.platform.ready)
 
         async def p2_answers():
             return (await self.platform.call("GET", "/read/1")).status == 200
         await self.platform.wait(p2_answers)
-        self.assertIsNone(self.platform.store.on_page)
+        self.assertIsNone(self.platform.store.on_page_sent)
         await asyncio.sleep(1.5)  # The bound for leaving back ends.
         before = len(self.platform.plain[0].requests)
         for _ in range(6):
             self.assertEqual(200, (await self.platform.call("GET", "/read/1")).status)
         self.assertEqual(before, len(self.platform.plain[0].requests))
 
-    async def test_new_weights_come_verified_and_mostly_once_from_the_origin(self):
+    async def test_new_weights_are_verified_and_mostly_fetched_once_from_the_origin(self):
         self.platform.origin.newest = 2
-        self.platform.origin.spoil = {(2, 0)}
+        self.platform.origin.corrupt_once = {(2, 0)}
         self.platform.store.put("versions", "m", {"model": "m", "version": 2})
         await self.platform.wait(lambda: all(e.version == 2 for e in self.platform.engines), 10)
         for engine in self.platform.engines:
-            self.assertEqual({n: piece(2, n) for n in range(CHUNKS)}, engine.taken[-1])
-        sent = [n for version, n in self.platform.origin.sent if version == 2]
+            self.assertEqual({n: chunk_content(2, n) for n in range(CHUNKS)},
+                             engine.activated_chunks[-1])
+        sent = [n for version, n in self.platform.origin.sent_chunks if version == 2]
         self.assertEqual({0, 2, 4, 6}, set(sent))  # Odd pieces were held already.
         self.assertLessEqual(len(sent), 6)
 
         async def on_new_weights():
-            answer = await self.platform.call("POST", "/chat/1")
-            return answer.headers.get("x-pumicemast-weight-versions") == "2"
+            response = await self.platform.call("POST", "/chat/1")
+            return response.headers.get("x-pumicemast-weight-versions") == "2"
         await self.platform.wait(on_new_weights)
 
-    async def test_an_agent_that_knows_no_other_one_draws_nothing(self):
+    async def test_an_agent_without_known_peers_fetches_nothing(self):
         """Agents that were started anew drew whole copies from the origin before they had heard of
         those beside engines that hold the weights."""
         self.platform.gateway.send_signal(signal.SIGSTOP)
@@ -606,67 +609,68 @@
         agent.wait()
         engine = self.platform.engines[0]
         engine.version, engine.staged = 0, {}  # Its machine was without power.
-        before = (len(self.platform.origin.sent), self.platform.origin.manifests)
+        before = (len(self.platform.origin.sent_chunks), self.platform.origin.sent_manifests)
         self.platform.run_host(0, engine)
         await asyncio.sleep(2)
-        after = (len(self.platform.origin.sent), self.platform.origin.manifests)
+        after = (len(self.platform.origin.sent_chunks), self.platform.origin.sent_manifests)
         self.platform.gateway.send_signal(signal.SIGCONT)
         self.assertEqual(before, after)
         await self.platform.wait(lambda: engine.version == 1, limit=10)
-        self.assertEqual(before[0], len(self.platform.origin.sent))
+        self.assertEqual(before[0], len(self.platform.origin.sent_chunks))
 
-    async def test_no_connection_rests_at_the_origin(self):
+    async def test_no_idle_connection_stays_open_at_the_origin(self):
         # What machines that lost power leave open there would shut everyone out.
         self.platform.origin.newest = 2
         self.platform.store.put("versions", "m", {"model": "m", "version": 2})
         await self.platform.wait(lambda: all(e.version == 2 for e in self.platform.engines), 10)
         await self.platform.wait(lambda: not self.platform.origin.writers, 2)
 
-    async def test_spoilt_staging_memory_is_mended_before_a_start(self):
+    async def test_corrupt_staging_memory_is_repaired_before_a_start(self):
         engine = self.platform.engines[0]
         engine.staged[3] = b"rotten"
         engine.version = 0  # The engine was started anew and holds no layers.
         await self.platform.wait(lambda: engine.version == 1, 10)
-        self.assertEqual(piece(1, 3), engine.taken[-1][3])
+        self.assertEqual(chunk_content(1, 3), engine.activated_chunks[-1][3])
 
-    async def test_a_planned_stop_cuts_nothing_off(self):
-        for runner in self.platform.engines:
-            runner.event_gap = 0.15
-        begun = asyncio.Event()
+    async def test_a_graceful_stop_interrupts_no_stream(self):
+        for backend in self.platform.engines:
+            backend.event_gap = 0.15
+        first_event = asyncio.Event()
         stream = asyncio.create_task(
-            self.platform.call("POST", "/chat/1", on_event=lambda _: begun.set()))
-        await asyncio.wait_for(begun.wait(), 5)
+            self.platform.call("POST", "/chat/1", on_event=lambda _: first_event.set()))
+        await asyncio.wait_for(first_event.wait(), 5)
         self.platform.gateway.send_signal(signal.SIGTERM)
         await self.platform.wait(lambda: self.not_ready(), 3)
-        answer = await stream
-        self.assertEqual((True, WHOLE), (answer.whole, answer.body))
+        response = await stream
+        self.assertEqual((True, COMPLETE_STREAM), (response.complete, response.body))
         await self.platform.wait(lambda: self.platform.gateway.poll() is not None, 8)
         self.assertEqual(0, self.platform.gateway.poll())
 
     async def not_ready(self):
-        return (await self.platform.call("GET", "/ready", port=self.platform.ready_port)).status == 503
+        return (await self.platform.call(
+            "GET", "/ready", port=self.platform.ready_port)).status == 503
 
-    async def test_who_calls_to_the_end_of_a_stop_is_answered_or_refused(self):
+    async def test_callers_during_a_stop_are_answered_or_refused(self):
         """Callers that do not heed the readiness: each call is answered whole, or its connection
         was refused before a byte of it was sent."""
         broken = []  # Each with its second.
-        answered = [0]
+        answered_count = [0]
         loop = asyncio.get_running_loop()
         begin = loop.time()
 
         async def keep_calling():
             while True:
                 try:
-                    answer = await self.platform.call("POST", "/chat/1", {"X-Api-Key": "nobody"})
+                    response = await self.platform.call("POST", "/chat/1", {"X-Api-Key": "nobody"})
                 except ConnectionRefusedError:
                     return
                 except (OSError, IndexError) as error:
                     broken.append((round(loop.time() - begin, 3), repr(error)))
                     continue
-                if answer.whole:
-                    answered[0] += 1
+                if response.complete:
+                    answered_count[0] += 1
                 else:
-                    broken.append((round(loop.time() - begin, 3), vars(answer)))
+                    broken.append((round(loop.time() - begin, 3), vars(response)))
 
         callers = [asyncio.create_task(keep_calling()) for _ in range(8)]
         await asyncio.sleep(0.2)
@@ -674,28 +678,29 @@
         await asyncio.wait_for(asyncio.gather(*callers), 20)
         self.assertEqual(0, self.platform.gateway.wait())
         self.assertEqual([], broken)
-        self.assertGreater(answered[0], 100)
+        self.assertGreater(answered_count[0], 100)
 
-    async def call_slowly(self, connect_after, send_after):
+    async def call_with_delays(self, connect_after, send_after):
         """Connects and sends its request so long after the gateway was told to stop."""
         await asyncio.sleep(connect_after)
         reader, writer = await asyncio.open_connection("127.0.0.1", self.platform.callers)
         await asyncio.sleep(send_after - connect_after)
         writer.write(b"GET /read/1 HTTP/1.1\r\nHost: api.example\r\nX-Api-Key: key\r\n"
                      b"X-Pumicemast-Request-Id: q1\r\nX-Pumicemast-Deadline-Ms: 5000\r\n\r\n")
-        return await self.platform.read_answer(reader, None)
+        return await self.platform.read_response(reader, None)
 
     async def test_callers_that_are_slow_to_send_are_answered_during_a_stop(self):
         """On a loaded machine a second passes between a caller's connecting and its request: the
         gateway closed such connections after half a second, and its callers got no answer."""
         self.platform.gateway.terminate()
-        answers = await asyncio.gather(self.call_slowly(0.0, 1.2), self.call_slowly(2.0, 3.2),
-                                       self.call_slowly(2.7, 4.2))
-        self.assertEqual([True] * 3, [answered.whole for answered in answers])
-        self.assertEqual([200, 503, 503], [answered.status for answered in answers])
+        responses = await asyncio.gather(self.call_with_delays(0.0, 1.2),
+                                         self.call_with_delays(2.0, 3.2),
+                                         self.call_with_delays(2.7, 4.2))
+        self.assertEqual([True] * 3, [response.complete for response in responses])
+        self.assertEqual([200, 503, 503], [response.status for response in responses])
         await self.platform.wait(lambda: self.platform.gateway.poll() == 0, limit=4)
 
-    async def test_callers_whose_process_stands_still_are_answered_during_a_stop(self):
+    async def test_callers_whose_process_is_paused_are_answered_during_a_stop(self):
         """On a loaded machine callers stood still between connecting and sending: the gateway
         closed their connections after half a second, six of them at once."""
         callers = await asyncio.create_subprocess_exec(
@@ -714,7 +719,7 @@
         self.assertGreater(result["answered"], 100)
         await self.platform.wait(lambda: self.platform.gateway.poll() == 0, limit=4)
 
-    async def test_the_rest_of_a_request_on_a_kept_connection_is_awaited_during_a_stop(self):
+    async def test_the_rest_of_a_request_on_a_keep_alive_connection_is_awaited_during_a_stop(self):
         """A caller that stood still in the middle of its second request got no answer: only first
         requests were waited for."""
         self.platform.configure(2, header_timeout_ms=9000)
@@ -723,12 +728,12 @@
         request = (b"GET /read/1 HTTP/1.1\r\nHost: api.example\r\nX-Api-Key: key\r\n"
                    b"X-Pumicemast-Request-Id: q1\r\nX-Pumicemast-Deadline-Ms: 5000\r\n\r\n")
         writer.write(request)
-        self.assertEqual(200, (await self.platform.read_answer(reader, None)).status)
+        self.assertEqual(200, (await self.platform.read_response(reader, None)).status)
         self.platform.gateway.terminate()
         writer.write(request[:40])
         await asyncio.sleep(4.2)
         writer.write(request[40:])
-        self.assertEqual(503, (await self.platform.read_answer(reader, None)).status)
+        self.assertEqual(503, (await self.platform.read_response(reader, None)).status)
         await self.platform.wait(lambda: self.platform.gateway.poll() == 0, limit=4)
 
     async def test_a_gateway_that_starts_gets_the_list_from_the_contact_of_its_zone(self):
@@ -736,15 +741,15 @@
         to it for many seconds."""
         contact = self.platform.store.objects["gateway-contacts"]["z1"]
         self.assertEqual({"gateway": f"127.0.0.1:{self.platform.internal}"}, contact["spec"])
-        before = self.platform.store.lists.count("servers")
+        before = self.platform.store.listed_kinds.count("servers")
         self.platform.run_second_gateway(self.platform.store.port)
         await self.platform.wait(self.platform.second_is_ready, limit=5)
         log = Path(self.folder.name) / "gateway2.log"
         await self.platform.wait(lambda: b"event=list count=4" in log.read_bytes(), limit=5)
-        self.assertEqual(before, self.platform.store.lists.count("servers"))
+        self.assertEqual(before, self.platform.store.listed_kinds.count("servers"))
         self.assertIn(b"source=gateway", log.read_bytes())
 
-    async def test_a_contact_that_is_gone_is_replaced_by_who_misses_it(self):
+    async def test_an_unreachable_contact_is_replaced(self):
         """All power is back but for the machine that the zone's contact ran on."""
         self.platform.gateway.kill()
         self.platform.gateway.wait()
@@ -753,14 +758,14 @@
         contact = self.platform.store.objects["gateway-contacts"]["z1"]
         self.assertEqual({"gateway": f"127.0.0.2:{self.platform.internal}"}, contact["spec"])
 
-    async def test_a_store_that_keeps_no_contacts_is_read_by_each(self):
+    async def test_each_gateway_reads_the_list_from_a_store_without_contacts(self):
         self.platform.store.refused_kinds.add("gateway-contacts")
         self.platform.gateway.kill()
         self.platform.gateway.wait()
         self.platform.run_second_gateway(self.platform.store.port)
         await self.platform.wait(self.platform.second_is_ready, limit=5)
 
-    async def test_serves_on_while_the_store_is_down(self):
+    async def test_serving_continues_while_the_store_is_down(self):
         self.platform.store.down = True
         await asyncio.sleep(1)
         self.assertEqual(200, (await self.platform.call("POST", "/chat/1")).status)
@@ -775,7 +780,7 @@
         await self.platform.wait(lambda: b"reload state=REFUSED" in log.read_bytes(), 5)
         self.assertEqual(200, (await self.platform.call("GET", "/read/1")).status)
 
-    async def test_a_log_reader_that_does_not_read_holds_nothing_up(self):
+    async def test_a_blocked_log_reader_does_not_block_requests(self):
         read_end, write_end = os.pipe()
         os.set_blocking(write_end, False)
         try:
@@ -788,12 +793,12 @@
         self.platform.gateway.wait()
         self.platform.gateway = self.platform.run_gateway(os.fdopen(write_end, "wb"), "all")
         await self.platform.wait(self.platform.ready)
-        await self.platform.wait(self.platform.engines_known)
+        await self.platform.wait(self.platform.engines_answer)
         for _ in range(50):
             self.assertEqual(200, (await self.platform.call("GET", "/read/1")).status)
         os.close(read_end)
 
-    async def test_two_stop_signals_end_it_at_once_with_its_log_told(self):
+    async def test_a_second_stop_signal_ends_the_process_at_once_with_its_log_written(self):
         process = self.platform.gateway
         process.send_signal(signal.SIGTERM)
         await asyncio.sleep(0.05)
@@ -801,35 +806,35 @@
         await self.platform.wait(lambda: process.poll() is not None, limit=1)
         self.assertIn("event=stop", (Path(self.folder.name) / "gateway.log").read_text())
 
-    async def test_a_list_that_comes_before_the_configuration_is_subscribed_all_the_same(self):
+    async def test_engines_listed_before_the_configuration_arrives_are_subscribed(self):
         platform = self.platform
         platform.gateway.kill()
         platform.gateway.wait()
-        platform.store.held.add("config")
-        platform.store.lists.clear()
+        platform.store.held_kinds.add("config")
+        platform.store.listed_kinds.clear()
         platform.gateway = platform.run_gateway()
-        await platform.wait(lambda: "servers" in platform.store.lists)
+        await platform.wait(lambda: "servers" in platform.store.listed_kinds)
         await asyncio.sleep(0.5)
-        platform.store.held.clear()
+        platform.store.held_kinds.clear()
 
         async def engines_report():
-            answer = await platform.call("GET", "/metrics", port=platform.metrics_port)
-            return b"pumicemast_gateway_reporting_engines 2" in answer.body
+            response = await platform.call("GET", "/metrics", port=platform.metrics_port)
+            return b"pumicemast_gateway_reporting_engines 2" in response.body
         await platform.wait(engines_report, limit=5)
 
     async def test_metrics_are_served(self):
         await self.platform.call("GET", "/read/1")
 
         async def counted():
-            answer = await self.platform.call("GET", "/metrics", port=self.platform.metrics_port)
-            return b"pumicemast_gateway_requests_total" in answer.body
+            response = await self.platform.call("GET", "/metrics", port=self.platform.metrics_port)
+            return b"pumicemast_gateway_requests_total" in response.body
         await self.platform.wait(counted)
 
-    async def test_zones_without_a_known_gateway_share_the_retries(self):
-        async def three_sharers():
-            answer = await self.platform.call("GET", "/metrics", port=self.platform.metrics_port)
-            return b"pumicemast_gateway_retry_gateways 3" in answer.body
-        await self.platform.wait(three_sharers, limit=5)
+    async def test_zones_without_a_known_gateway_count_in_the_retry_budget(self):
+        async def three_gateways_counted():
+            response = await self.platform.call("GET", "/metrics", port=self.platform.metrics_port)
+            return b"pumicemast_gateway_retry_gateways 3" in response.body
+        await self.platform.wait(three_gateways_counted, limit=5)
 
 
 if __name__ == "__main__":
--- a/tests/processes/process_test.py
+++ b/tests/processes/process_test.py
@@ -13,14 +13,14 @@
 import fleet as fleets  # noqa: E402  (found only after the path is set)
 
 BUILD = None  # Set by main().
-KNOWN_RED = ROOT / "KNOWN-RED.txt"
+KNOWN_FAILURES_FILE = ROOT / "KNOWN-RED.txt"
 
 
-def known_red():
+def known_failures():
     """Names of the tests that are known to fail, as `module.Class.test`."""
-    if not KNOWN_RED.exists():
+    if not KNOWN_FAILURES_FILE.exists():
         return set()
-    lines = KNOWN_RED.read_text().splitlines()
+    lines = KNOWN_FAILURES_FILE.read_text().splitlines()
     return {line.split(":", 1)[0].strip() for line in lines if line.strip()}
 
 
@@ -40,7 +40,7 @@
 
     def setUp(self):
         module = pathlib.Path(sys.argv[0]).stem
-        if f"{module}.{type(self).__name__}.{self._testMethodName}" in known_red():
+        if f"{module}.{type(self).__name__}.{self._testMethodName}" in known_failures():
             self.skipTest("listed in KNOWN-RED.txt")
         self.folder_handle = tempfile.TemporaryDirectory(prefix="pumicemast-")
         self.addCleanup(self.folder_handle.cleanup)
@@ -72,12 +72,12 @@
 
     def call(self, path, body, entry=0, headers=None, timeout=30):
         """A caller's request; returns (status, headers in lower case, body)."""
-        status, answer_headers, answer = fleets.http_call(
+        status, response_headers, response = fleets.http_call(
             self.fleet.entries[entry]["callers"], "POST", path, json.dumps(body),
             {"Content-Type": "application/json", **(headers or {})}, timeout)
-        return status, {key.lower(): value for key, value in answer_headers.items()}, answer
+        return status, {key.lower(): value for key, value in response_headers.items()}, response
 
-    def complete(self, entry=0, headers=None, **body):
+    def request_completion(self, entry=0, headers=None, **body):
         return self.call("/v1/completions", {"model": "forms", "prompt": "hi", **body}, entry,
                          headers)
 
--- a/tests/processes/rate_limit_test.py
+++ b/tests/processes/rate_limit_test.py
@@ -15,19 +15,19 @@
 import tempfile
 import unittest
 
-from platform_standin import Runner
+from platform_standin import Backend
 from platform_test import ENGINES, ROOT, Platform, free_port
-from process_test import known_red
+from process_test import known_failures
 
 GATEWAYS = ["127.0.0.1", "127.0.0.2", "127.0.0.3"]
 WINDOW_S = 4.0
 # Until all gateways hold a limit that one of them was told.
 SETTLE_S = 1.0
 # Requests above the rate in a window.
-BURST = 2
+ALLOWED_BURST = 2
 
 
-class LimitedRunner(Runner):
+class RateLimitedBackend(Backend):
     """Names a limit in its answers while it has one, and notes when requests come."""
 
     def __init__(self, *arguments):
@@ -53,30 +53,30 @@
     def report(self):
         return {**super().report(), "running": self.running}
 
-    def most_in_a_window(self, since, until):
+    def max_arrivals_in_window(self, since, until):
         """The most requests that came within any window between two moments."""
         times = [at for at in self.arrivals if since <= at <= until]
         return max((sum(1 for other in times if at <= other < at + WINDOW_S) for at in times),
                    default=0)
 
-    def arrived(self, since, until):
+    def arrival_count(self, since, until):
         return sum(1 for at in self.arrivals if since <= at <= until)
 
 
-class LimitedPlatform(Platform):
+class RateLimitedPlatform(Platform):
     """Three gateways before two engines and two plain services that may name limits."""
 
     slots = 24  # Whoever is refused is refused for a limit.
 
     async def start(self):
         await super().start()
-        for runner in [*self.plain, *self.engines]:
-            await runner.stop()
-        plain = [LimitedRunner(f"p{n}") for n in (1, 2)]
-        engines = [LimitedRunner(f"e{n}", host, "m", 1) for n, host in enumerate(ENGINES, 1)]
-        for runner, former in zip([*plain, *engines], [*self.plain, *self.engines]):
-            runner.port = former.port
-            await runner.start()
+        for backend in [*self.plain, *self.engines]:
+            await backend.stop()
+        plain = [RateLimitedBackend(f"p{n}") for n in (1, 2)]
+        engines = [RateLimitedBackend(f"e{n}", host, "m", 1) for n, host in enumerate(ENGINES, 1)]
+        for backend, replaced in zip([*plain, *engines], [*self.plain, *self.engines]):
+            backend.port = replaced.port
+            await backend.start()
         self.plain, self.engines = plain, engines
         self.caller_ports = {GATEWAYS[0]: self.callers}
         self.metrics_ports = {GATEWAYS[0]: self.metrics_port}
@@ -112,18 +112,18 @@
 
     async def serves(self, host, target):
         try:
-            answered = await self.call("POST", target, host=host, port=self.caller_ports[host])
-            return answered.status == 200 and answered.whole
+            response = await self.call("POST", target, host=host, port=self.caller_ports[host])
+            return response.status == 200 and response.complete
         except OSError:
             return False
 
 
 class RateLimitTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        if f"rate_limit_test.{type(self).__name__}.{self._testMethodName}" in known_red():
+        if f"rate_limit_test.{type(self).__name__}.{self._testMethodName}" in known_failures():
             self.skipTest("listed in KNOWN-RED.txt")
         self.folder = tempfile.TemporaryDirectory()
-        self.platform = LimitedPlatform(self.folder.name)
+        self.platform = RateLimitedPlatform(self.folder.name)
         await self.platform.start()
 
     async def asyncTearDown(self):
@@ -135,47 +135,50 @@
 
     async def load(self, target, rate, seconds):
         """Open arrivals over all gateways in turn; the answers and how long each took."""
-        async def one(number):
+        async def call_one(number):
             host = GATEWAYS[number % len(GATEWAYS)]
-            began = self.now()
-            answered = await self.platform.call("POST", target, host=host,
+            started_at = self.now()
+            response = await self.platform.call("POST", target, host=host,
                                                 port=self.platform.caller_ports[host])
-            return answered, self.now() - began
+            return response, self.now() - started_at
 
         calls = []
         begin = self.now()
         for number in range(int(rate * seconds)):
             await asyncio.sleep(max(0, begin + number / rate - self.now()))
-            calls.append(asyncio.create_task(one(number)))
+            calls.append(asyncio.create_task(call_one(number)))
         return await asyncio.gather(*calls)
 
-    async def load_limited(self, runners, target, limit, rate, seconds):
+    async def load_limited(self, backends, target, limit, rate, seconds):
         """All `runners` name the limit under load; the answers from when it must hold on, and
         that span."""
-        for runner in runners:
-            runner.limit = limit
+        for backend in backends:
+            backend.limit = limit
         await self.load(target, rate, SETTLE_S)
         since = self.now()
-        answers = await self.load(target, rate, seconds)
-        return answers, since, since + seconds
+        responses = await self.load(target, rate, seconds)
+        return responses, since, since + seconds
 
-    async def test_a_limited_engine_gets_no_more_and_others_serve_the_rest(self):
+    async def test_a_limited_engine_stays_within_its_limit_and_others_serve_the_rest(self):
         engine = self.platform.engines[0]
-        answers, since, until = await self.load_limited([engine], "/chat/1", 1, 15, 8)
-        self.assertLessEqual(engine.most_in_a_window(since, until), 1 * WINDOW_S + BURST)
-        served = sum(1 for answered, _ in answers if answered.status == 200 and answered.whole)
-        self.assertGreaterEqual(served, 0.95 * len(answers))
-
-    async def check_all_limited(self, runners, target, limit, rate, seconds):
-        answers, since, until = await self.load_limited(runners, target, limit, rate, seconds)
-        for runner in runners:
-            self.assertLessEqual(runner.most_in_a_window(since, until), limit * WINDOW_S + BURST)
-            self.assertGreaterEqual(runner.arrived(since, until), 0.9 * limit * seconds)
-        refused = [(answered, took) for answered, took in answers if answered.status == 503]
+        responses, since, until = await self.load_limited([engine], "/chat/1", 1, 15, 8)
+        self.assertLessEqual(engine.max_arrivals_in_window(since, until),
+                             1 * WINDOW_S + ALLOWED_BURST)
+        served = sum(1 for response, _ in responses if response.status == 200 and response.complete)
+        self.assertGreaterEqual(served, 0.95 * len(responses))
+
+    async def check_all_limited(self, backends, target, limit, rate, seconds):
+        responses, since, until = await self.load_limited(backends, target, limit, rate, seconds)
+        for backend in backends:
+            self.assertLessEqual(backend.max_arrivals_in_window(since, until),
+                                 limit * WINDOW_S + ALLOWED_BURST)
+            self.assertGreaterEqual(backend.arrival_count(since, until), 0.9 * limit * seconds)
+        refused = [(response, duration_s) for response, duration_s in responses
+                   if response.status == 503]
         self.assertGreater(len(refused), 0)
-        for answered, took in refused:
-            self.assertGreater(float(answered.headers["retry-after"]), 0)
-            self.assertLess(took, 1)
+        for response, duration_s in refused:
+            self.assertGreater(float(response.headers["retry-after"]), 0)
+            self.assertLess(duration_s, 1)
 
     async def test_limits_of_all_engines_are_kept_and_used(self):
         await self.check_all_limited(self.platform.engines, "/chat/1", 2, 20, 10)
@@ -183,24 +186,24 @@
     async def test_limits_of_plain_services_are_kept_and_used(self):
         await self.check_all_limited(self.platform.plain, "/read/1", 3, 30, 10)
 
-    async def test_a_limit_that_is_no_longer_named_ends(self):
+    async def test_a_limit_no_longer_sent_in_responses_is_lifted(self):
         engines = self.platform.engines
         await self.load_limited(engines, "/chat/1", 2, 20, 3)
         for engine in engines:
             engine.limit = None
         await self.load("/chat/1", 10, 2)
-        answers = await self.load("/chat/1", 10, 3)
-        served = sum(1 for answered, _ in answers if answered.status == 200 and answered.whole)
-        self.assertGreaterEqual(served, 0.95 * len(answers))
+        responses = await self.load("/chat/1", 10, 3)
+        served = sum(1 for response, _ in responses if response.status == 200 and response.complete)
+        self.assertGreaterEqual(served, 0.95 * len(responses))
 
     async def test_malformed_limits_change_nothing(self):
         await self.load("/chat/1", 10, 1)
         for limit in ("nan", "-3", "1e300", "2 a second", "0x2", ""):
             for engine in self.platform.engines:
                 engine.limit = limit
-            answers = await self.load("/chat/1", 10, 1)
-            statuses = {(answered.status, answered.body[:40]) for answered, _ in answers
-                        if answered.status != 200 or not answered.whole}
+            responses = await self.load("/chat/1", 10, 1)
+            statuses = {(response.status, response.body[:40]) for response, _ in responses
+                        if response.status != 200 or not response.complete}
             self.assertEqual(set(), statuses, limit)
 
 
--- a/tests/processes/whole_path_test.py
+++ b/tests/processes/whole_path_test.py
@@ -56,38 +56,40 @@
                 self.assertEqual((weights / path).read_bytes(), held[2], path)
 
     def check_plain_and_streamed(self):
-        status, headers, body = self.complete(headers={"X-Request-Id": "mine"}, max_tokens=3)
+        status, headers, body = self.request_completion(headers={"X-Request-Id": "mine"},
+                                                        max_tokens=3)
         self.assertEqual((200, "mine", "completed"),
                          (status, headers["x-request-id"], headers["x-outcome"]))
         words = json.loads(body)["choices"][0]["text"].split()
         self.assertEqual(["0", "1", "2"], [word.split(":")[1] for word in words])
-        status, headers, body = self.complete(entry=1, stream=True, max_tokens=3)
+        status, headers, body = self.request_completion(entry=1, stream=True, max_tokens=3)
         self.assertEqual((200, "text/event-stream"), (status, headers["content-type"]))
         self.assertTrue(body.endswith(b"data: [DONE]\n\n"))
         self.assertEqual(5, body.count(b"data: "))
 
     def check_refusals(self):
-        status, headers, body = self.complete(model="nothing")
+        status, headers, body = self.request_completion(model="nothing")
         self.assertEqual((404, "not-run"), (status, headers["x-outcome"]))
         self.assertEqual("not-run", json.loads(body)["error"]["outcome"])
         for bad in ({"prompt": 1, "model": 2}, {"model": "forms"}, {"model": "forms", "prompt": "x",
                                                                      "stream": "yes"}):
             self.assertEqual(400, self.call("/v1/completions", bad)[0])
         self.assertEqual(404, self.call("/nowhere", {})[0])
-        self.assertEqual(400, self.complete(headers={"X-Deadline-Ms": "soon"})[0])
-        status, headers, _ = self.complete(headers={"X-Deadline-Ms": "1"}, max_tokens=500)
+        self.assertEqual(400, self.request_completion(headers={"X-Deadline-Ms": "soon"})[0])
+        status, headers, _ = self.request_completion(headers={"X-Deadline-Ms": "1"}, max_tokens=500)
         self.assertEqual((504, "unknown"), (status, headers["x-outcome"]))
 
     def check_service_and_claims(self):
         self.fleet.ctl("set", "route", "notices", "path=/notices", "service=notices")
         self.wait_for_rows("show routes", 1)
-        once = {"X-Non-Repeatable": "true", "Idempotency-Key": "k1"}
+        non_repeatable = {"X-Non-Repeatable": "true", "Idempotency-Key": "k1"}
         fleets.wait_until(lambda: self.call("/notices/send", {"n": 1})[0] == 200, "the route")
         before = len(self.executions("a05"))
-        status, headers, body = self.call("/notices/send", {"n": 2}, headers=once)
+        status, headers, body = self.call("/notices/send", {"n": 2}, headers=non_repeatable)
         self.assertEqual((200, "completed"), (status, headers["x-outcome"]))
         self.assertEqual(json.loads(body)["body"], '{"n": 2}')
-        status, headers, body = self.call("/notices/send", {"n": 2}, entry=1, headers=once)
+        status, headers, body = self.call("/notices/send", {"n": 2}, entry=1,
+                                          headers=non_repeatable)
         self.assertEqual((409, "completed"), (status, headers["x-outcome"]))
         self.assertEqual(before + 1, len(self.executions("a05")))
 
@@ -105,12 +107,12 @@
         result = subprocess.run(["node", script, base], capture_output=True, text=True,
                                 timeout=60)
         self.assertEqual(0, result.returncode, result.stderr)
-        answer = json.loads(result.stdout)
-        self.assertEqual(5, len(answer["plain"].split()))
-        self.assertEqual(answer["plain"], answer["streamed"])
-        self.assertIn("forms", answer["models"])
+        output = json.loads(result.stdout)
+        self.assertEqual(5, len(output["plain"].split()))
+        self.assertEqual(output["plain"], output["streamed"])
+        self.assertIn("forms", output["models"])
         self.assertEqual({"status": 404, "code": "model_not_found", "name": "NotFoundError"},
-                         answer["refusal"])
+                         output["refusal"])
 
     def check_version_change(self):
         self.publish("v2", 2)
@@ -127,7 +129,7 @@
         """The tag of the weights that answer; every replica must give the same."""
         tags = set()
         for entry in range(3):
-            status, _, body = self.complete(entry=entry, max_tokens=1)
+            status, _, body = self.request_completion(entry=entry, max_tokens=1)
             self.assertEqual(200, status, body)
             tags.add(json.loads(body)["choices"][0]["text"].split(":")[0])
         self.assertEqual(1, len(tags))
@@ -142,7 +144,7 @@
                                        if row["machine"] == machine], "the drained replica to go")
         before = len(self.executions(machine))
         for _ in range(12):
-            self.assertEqual(200, self.complete(max_tokens=1)[0])
+            self.assertEqual(200, self.request_completion(max_tokens=1)[0])
         self.assertEqual(before, len(self.executions(machine)))
         self.fleet.ctl("cancel", "stop", machine)
 
@@ -169,10 +171,10 @@
                 self.assertEqual(2, result.returncode, program)
                 self.assertRegex(result.stderr, r"\d+ findings; nothing was started\n$", program)
                 self.assertIn(f"{file.name}:6: [wrong] key: unknown key", result.stderr, program)
-                helped = subprocess.run([f"{process_test.BUILD}/bin/{program}", "--help"],
+                help_result = subprocess.run([f"{process_test.BUILD}/bin/{program}", "--help"],
                                         capture_output=True, text=True, timeout=10)
-                self.assertEqual(0, helped.returncode, program)
-                self.assertIn("example", helped.stdout, program)
+                self.assertEqual(0, help_result.returncode, program)
+                self.assertIn("example", help_result.stdout, program)
 
 
 if __name__ == "__main__":
--- a/tests/soak/soak_checks.py
+++ b/tests/soak/soak_checks.py
@@ -3,7 +3,7 @@
 import time
 from bisect import bisect_left, bisect_right
 
-from platform_standin import CHUNKS, piece
+from platform_standin import CHUNKS, chunk_content
 
 DEADLINE_S = 5.0
 LATE_S = 1.0  # An answer may come so much later than its deadline, on a loaded machine.
@@ -187,7 +187,7 @@
         now = time.monotonic()
         wrong = {}
         for number in range(CHUNKS):
-            if staged.get(number) == piece(version, number):
+            if staged.get(number) == chunk_content(version, number):
                 continue
             if now - turned_bad.get(number, 0.0) < TURNED_BAD_S:
                 continue
@@ -229,11 +229,11 @@
             self.violate("CONFIG", f"{identity} was answered after its deadline")
 
     def check(self, kind, identity, answered, life, version):
-        if answered.status == 200 and answered.whole:
+        if answered.status == 200 and answered.complete:
             own = "".join(f"id: {n}\ndata: {identity} {n}\n\n" for n in range(1, 11)).encode()
             if answered.body != (own if kind == "chat" else identity.encode()):
                 self.violate("MIXED", f"{identity} got {answered.body[:80]!r}")
-        if not answered.whole and self.all_quiet():
+        if not answered.complete and self.all_quiet():
             self.violate("LOST", f"{identity} was cut off with nothing disturbed")
         if answered.body == b"quarantined" and not identity.startswith("killer"):
             self.violate("BYSTANDER", f"{identity} was taken for a request that ends engines")
--- a/tests/soak/soak_checks_test.py
+++ b/tests/soak/soak_checks_test.py
@@ -12,7 +12,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent))
 import fault_soak  # noqa: E402  (sets the path of the stand-ins)
 import soak_checks  # noqa: E402
-from platform_standin import CHUNKS, piece  # noqa: E402
+from platform_standin import CHUNKS, chunk_content  # noqa: E402
 from soak_checks import (DEADLINE_S, DRAIN_BOUND_S, LIMIT_SETTLE_S, QUIET_S, RETRY_EXTRA, RETRY_WINDOW_S,  # noqa: E402
                          STALL_S, START_BOUND_S, TURNED_BAD_S, Checks)
 from soak_engine import SoakEngine  # noqa: E402
@@ -37,8 +37,8 @@
         return SimpleNamespace(identity="e1", name="e1", model=model, version=version, timeline=[],
                                draining_since=draining_since, wrong_chunks=wrong_chunks or {})
 
-    def check(self, kind, identity, status=200, body=b"", whole=True, version=1):
-        answered = SimpleNamespace(status=status, body=body, whole=whole)
+    def check(self, kind, identity, status=200, body=b"", complete=True, version=1):
+        answered = SimpleNamespace(status=status, body=body, complete=complete)
         self.checks.check(kind, identity, answered, (GATEWAY, 1), version)
 
 
@@ -120,7 +120,7 @@
         self.checks.disturb(0)
         since = time.monotonic() - DRAIN_BOUND_S - 1
         self.checks.on_run(self.runner(draining_since=since), "read-1")
-        self.check("chat", "chat-1", whole=False)
+        self.check("chat", "chat-1", complete=False)
         self.assertEqual([], self.rules())
         self.checks.on_run(self.runner(), "write-1")
         self.checks.on_run(self.runner(), "write-1")
@@ -128,7 +128,7 @@
 
     def test_faults_of_back_ends_excuse_nothing_that_gateways_do(self):
         self.checks.disturb_engines(0)
-        self.check("chat", "chat-1", whole=False)
+        self.check("chat", "chat-1", complete=False)
         self.assertEqual([], self.rules())
         since = time.monotonic() - DRAIN_BOUND_S - 1
         self.checks.on_run(self.runner(draining_since=since), "read-1")
@@ -138,7 +138,7 @@
 
     def test_a_standstill_of_the_stand_ins_excuses_what_it_broke_and_no_more(self):
         self.checks.last_beat = time.monotonic() - STALL_S - 0.1
-        self.check("chat", "chat-1", whole=False)
+        self.check("chat", "chat-1", complete=False)
         self.assertEqual([], self.rules())
         self.checks.on_run(self.runner(), "write-1")
         self.checks.on_run(self.runner(), "write-1")
@@ -146,11 +146,11 @@
 
     def test_stand_ins_that_run_excuse_nothing(self):
         self.checks.last_beat = time.monotonic() - STALL_S / 2
-        self.check("chat", "chat-1", whole=False)
+        self.check("chat", "chat-1", complete=False)
         self.assertEqual(["LOST"], self.rules())
 
     def test_an_answer_that_is_cut_off(self):
-        self.check("chat", "chat-1", whole=False)
+        self.check("chat", "chat-1", complete=False)
         self.assertEqual(["LOST"], self.rules())
 
     def test_a_configuration_that_reverts(self):
@@ -166,7 +166,7 @@
     def test_an_answer_that_comes_after_the_deadline(self):
         async def late(*_):
             await asyncio.sleep(0.2)
-            return SimpleNamespace(status=200, body=b"read-1", whole=True)
+            return SimpleNamespace(status=200, body=b"read-1", complete=True)
         platform = SimpleNamespace(version=1, call_gateway=late)
         load = Load(platform, self.checks, random.Random(1))
         kept = soak_checks.DEADLINE_S, soak_checks.LATE_S
@@ -232,7 +232,7 @@
 
         async def play():
             for number in range(CHUNKS):
-                engine.stage(number, piece(staged_version, number))
+                engine.stage(number, chunk_content(staged_version, number))
             prepare(engine)
             for version in orders:
                 engine.take_and_note({"version": version}, "answered")
@@ -246,7 +246,7 @@
         self.assertEqual([], self.rules())
 
     def test_an_order_that_takes_another_versions_chunks(self):
-        engine = self.engine(prepare=lambda engine: engine.stage(2, piece(3, 2)))
+        engine = self.engine(prepare=lambda engine: engine.stage(2, chunk_content(3, 2)))
         self.assertEqual([], self.rules())
         self.checks.on_run(engine, "chat-1")
         self.assertEqual(["WHOLE"], self.rules())
@@ -254,7 +254,8 @@
         self.assertIn("order to start version 2", self.checks.violations[0])
 
     def test_a_chunk_that_every_version_shares(self):
-        self.checks.on_run(self.engine(prepare=lambda engine: engine.stage(1, piece(3, 1))), "c-1")
+        self.checks.on_run(
+            self.engine(prepare=lambda engine: engine.stage(1, chunk_content(3, 1))), "c-1")
         self.assertEqual([], self.rules())
 
     def test_a_missing_chunk(self):
@@ -264,7 +265,7 @@
 
     def test_what_is_written_after_the_order_was_taken(self):
         engine = self.engine()
-        engine.stage(2, piece(3, 2))
+        engine.stage(2, chunk_content(3, 2))
         self.checks.on_run(engine, "chat-1")
         self.assertEqual([], self.rules())
 
@@ -288,7 +289,7 @@
         self.assertEqual(["WHOLE"], self.rules())
 
     def test_no_disturbance_excuses_a_mixture(self):
-        engine = self.engine(prepare=lambda engine: engine.stage(2, piece(3, 2)))
+        engine = self.engine(prepare=lambda engine: engine.stage(2, chunk_content(3, 2)))
         self.checks.disturb(1)
         self.checks.disturb_engines(1)
         self.checks.on_run(engine, "chat-1")
@@ -311,22 +312,22 @@
 
     def test_an_order_that_expects_another_sequence_number(self):
         async def steps(engine):
-            statuses = [engine.take({"version": 2, "expectedRev": 1}),
-                        engine.take({"version": 2, "expectedRev": 0})]
+            statuses = [engine.activate({"version": 2, "expectedRev": 1}),
+                        engine.activate({"version": 2, "expectedRev": 0})]
             await self.settled(engine)
-            return statuses + [engine.take({"version": 3, "expectedRev": 0}),
-                               engine.take({"version": 2, "expectedRev": 1})]
+            return statuses + [engine.activate({"version": 3, "expectedRev": 0}),
+                               engine.activate({"version": 2, "expectedRev": 1})]
         self.assertEqual([409, 202, 409, 200], self.play(steps))
 
     def test_an_order_during_another(self):
         async def steps(engine):
-            return [engine.take({"version": 2}), engine.take({"version": 3}), engine.seq]
+            return [engine.activate({"version": 2}), engine.activate({"version": 3}), engine.seq]
         self.assertEqual([202, 409, 1], self.play(steps))
 
     def test_a_restart_forgets_layers_and_orders_and_keeps_what_is_staged(self):
         async def steps(engine):
             await engine.start()
-            engine.take({"version": 2})
+            engine.activate({"version": 2})
             await self.settled(engine)
             staged = dict(engine.staged)
             await engine.start_anew()
--- a/tests/soak/soak_engine.py
+++ b/tests/soak/soak_engine.py
@@ -7,7 +7,7 @@
 import asyncio
 import time
 
-from platform_standin import Runner, answer, piece
+from platform_standin import Backend, send_response, chunk_content
 
 CHANGEOVER_S = 0.1  # As `warmS` in the stand-in's configuration.
 LATEST_ORDER_S = 12.0  # Orders without an answer were seen to be carried out 2.7 to 12 s later.
@@ -16,7 +16,7 @@
 TIMELINE_EVENTS = 400  # Ten versions' chunks and orders.
 
 
-class SoakRunner(Runner):
+class SoakRunner(Backend):
     """Puts the request's id into what it answers, and tells the checks when each request begins."""
 
     def __init__(self, checks, service, *arguments):
@@ -43,7 +43,7 @@
             self.checks.on_limit_told(self)
         return fields
 
-    def on_begun(self, headers):
+    def on_request_started(self, headers):
         self.checks.on_run(self, headers.get("x-pumicemast-request-id", ""))
 
     def plain_body(self, headers):
@@ -90,7 +90,7 @@
         super().stage(number, data)
         self.turned_bad.pop(number, None)
         versions = [version for version in sorted(self.checks.named_at)
-                    if data == piece(version, number)]
+                    if data == chunk_content(version, number)]
         self.note(f"chunk {number} written, of version {versions or 'none'}")
 
     def spoil(self, number):
@@ -102,8 +102,8 @@
 
     # ---- orders ----
 
-    def take(self, order):
-        if self.expects_another_seq(order) or self.busy:
+    def activate(self, order):
+        if self.is_stale(order) or self.busy:
             return 409
         if order["version"] == self.version:
             return 200
@@ -117,7 +117,7 @@
         return 202
 
     def take_and_note(self, order, how):
-        status = self.take(order)
+        status = self.activate(order)
         self.note(f"order to start version {order['version']}, expectedRev "
                   f"{order.get('expectedRev')}, {how}: {status}, seq {self.seq}")
         return status
@@ -133,15 +133,15 @@
         await asyncio.sleep(delay)
         self.take_and_note(order, f"{delay:.2f} s late, not answered")
 
-    async def answer_order(self, writer, order):
+    async def handle_order(self, writer, order):
         trouble = self.order_trouble
         if trouble is None:
-            answer(writer, self.take_and_note(order, "answered"))
+            send_response(writer, self.take_and_note(order, "answered"))
             return
         if trouble == "answered late":
             status = self.take_and_note(order, "answered late")
             await asyncio.sleep(self.random.uniform(0, SLOWEST_ANSWER_S))
-            answer(writer, status)
+            send_response(writer, status)
             return
         if trouble == "lost":
             self.note(f"order to start version {order['version']} lost")
@@ -150,10 +150,10 @@
             self.spawn(self.take_later(order, self.random.uniform(0, LATEST_ORDER_S)))
         await self.never.wait()  # This connection says nothing further.
 
-    async def answer_report(self, writer):
+    async def handle_report(self, writer):
         report = self.report()
         await asyncio.sleep(self.report_delay)
-        answer(writer, 200, report)
+        send_response(writer, 200, report)
 
     def report(self):
         return {**super().report(), "busy": self.busy, "running": self.running}
@@ -174,7 +174,8 @@
 
     def refuse(self, writer, headers, status):
         self.checks.on_arrival(self.service, headers.get("x-pumicemast-request-id", ""))
-        answer(writer, status, b"", self.head(headers, {"X-Pumicemast-Not-Executed": 1}.items()))
+        send_response(writer, status, b"",
+                      self.head(headers, {"X-Pumicemast-Not-Executed": 1}.items()))
 
     async def run_counted(self, writer, method, target, headers):
         life = self.life
--- a/tests/soak/soak_fleet.py
+++ b/tests/soak/soak_fleet.py
@@ -123,7 +123,7 @@
         lines = [f"{method} {target} HTTP/1.1"] + [f"{n}: {v}" for n, v in fields.items()]
         writer.write(("\r\n".join(lines) + "\r\n\r\n").encode())
         try:
-            return await self.read_answer(reader, None)
+            return await self.read_response(reader, None)
         finally:
             writer.close()
 
--- a/tests/soak/soak_load.py
+++ b/tests/soak/soak_load.py
@@ -47,4 +47,4 @@
             return checks.count(kind, "closed")
         checks.on_answer_after(identity, time.monotonic() - began)
         checks.check(kind, identity, answered, life, version)
-        return checks.count(kind, str(answered.status) if answered.whole else "cut")
+        return checks.count(kind, str(answered.status) if answered.complete else "cut")
