--- a/tests/processes/crash_test.py
+++ b/tests/processes/crash_test.py
@@ -1,4 +1,4 @@
-"""Two real gateways before back ends that end when they begin a certain body.
+"""Two gateway processes in front of back ends that crash when they execute a certain body.
 
 Usage: crash_test.py BUILD_FOLDER [TEST...]
 """
@@ -13,12 +13,12 @@
 from platform_standin import Backend
 from platform_test import ENGINES, ROOT, Platform, free_port
 
-CRASHING_BODY = b"ends whoever runs it"
+CRASHING_BODY = b"crashes the back end"
 RESTART_DELAY_S = 1.0
 
 
 class CrashingBackend(Backend):
-    """Ends when it begins to run the body, and is back a second later as another incarnation."""
+    """Crashes on CRASHING_BODY and restarts as a new incarnation after RESTART_DELAY_S."""
 
     def __init__(self, platform, service, *arguments):
         super().__init__(*arguments)
@@ -47,7 +47,7 @@
 
 
 class CrashingPlatform(Platform):
-    """The usual fleet with back ends that may end, and a second gateway that callers reach."""
+    """The fleet of Platform with back ends that can crash, and a second gateway for callers."""
 
     async def start(self):
         await super().start()
@@ -114,7 +114,7 @@
         return sum(backend.crashes for backend in backends)
 
     def quarantined_fingerprints(self, gateway):
-        """What a gateway said of requests in quarantine: fingerprints."""
+        """Fingerprints of the requests that the gateway logged as quarantined."""
         log = (self.folder / f"{gateway}.log").read_text(errors="replace")
         return re.findall(r"request fingerprint=([0-9a-f]{32}) state=QUARANTINED ends=\d", log)
 
@@ -130,7 +130,10 @@
         self.folder.cleanup()
 
     async def send_repeatedly(self, method, target, seconds):
-        """The same request at one gateway after the other; the statuses of its answers."""
+        """Sends the crashing request to both gateways in turn; returns the response statuses.
+
+        The status of an incomplete response is 0.
+        """
         statuses = []
         end = asyncio.get_running_loop().time() + seconds
         while asyncio.get_running_loop().time() < end:
@@ -148,7 +151,7 @@
         self.assertEqual({503}, set(statuses[-5:]))
         for gateway in ("gateway", "gateway2"):
             self.assertEqual(1, len(platform.quarantined_fingerprints(gateway)))
-        # All others are served.
+        # Other requests are still served.
         for host, port in platform.gateways():
             await platform.wait(lambda host=host, port=port: platform.serves(host, port), 5)
         self.assertEqual(1, len(platform.quarantined_fingerprints("gateway")))
--- a/tests/processes/faults_test.py
+++ b/tests/processes/faults_test.py
@@ -1,6 +1,6 @@
-"""What must hold at all times, under failure: kills, freezes, cuts, platform outages, lost
-answers and racing operators. Load runs meanwhile; its history is checked against the back
-ends' journals."""
+"""Invariants under failures: killed and frozen processes, stopping entries, platform outages, lost
+responses, malformed frames and concurrent operators. Many tests run a load generator meanwhile and
+check its history against the journals of the back ends."""
 
 import json
 import os
@@ -17,8 +17,10 @@
 
 
 def exchange_once(connection):
-    """Sends a call for a model that does not exist and reads until the connection ends; returns
-    what was read, or the error as bytes."""
+    """Sends a request for an unknown model and reads until the connection closes.
+
+    Returns the bytes that were read, followed by the error if there was one.
+    """
     body = b'{"model": "nobody", "prompt": "hi"}'
     head = (f"POST /v1/completions HTTP/1.1\r\nHost: entry\r\nConnection: close\r\n"
             f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n").encode()
@@ -54,7 +56,7 @@
         return load
 
     def finish_load(self, load, minimum_complete=50):
-        """Ends the load and checks what must hold whatever failed."""
+        """Stops the load and checks the invariants that hold under every failure."""
         load.terminate()
         output = load.communicate(timeout=90)[0]
         figures = {name: float(value) for name, value
@@ -76,7 +78,7 @@
                               f"entry {entry} to route")
 
     def wait_for_completed(self, count):
-        """Waits for that many more whole answers, measured by the entries themselves."""
+        """Waits until the metrics of the entries count that many more completed requests."""
         def completed():
             total = 0
             for entry in self.fleet.entries:
@@ -89,11 +91,13 @@
                     re.MULTILINE)))
             return total
         before = completed()
-        fleets.wait_until(lambda: completed() >= before + count, f"{count} whole answers")
+        fleets.wait_until(lambda: completed() >= before + count, f"{count} completed requests")
 
     def controller(self):
-        """Name of the entry that holds the lease. The entry asked may not know it yet: it reads
-        the lease every third of its term."""
+        """Name of the entry that holds the lease.
+
+        The queried entry may not know it yet: it reads the lease only once per third of its TTL.
+        """
         def known():
             status = {row["field"]: row["value"] for row in self.fleet.rows("show status")}
             return status["controller"].split("/")[0]
@@ -131,7 +135,8 @@
         service = self.fleet.machine("a05")["backend"]
         non_repeatable = {"X-Non-Repeatable": "true"}
         for method in ("POST", "PUT", "DELETE"):
-            # A first call leaves a kept-alive connection behind, on which a library may resend.
+            # The first call leaves a keep-alive connection open; an HTTP library may resend a
+            # request by itself on a reused connection.
             host = self.fleet.entries[0]["callers"]
             fleets.http_call(host, method, "/notices/warm", b"{}")
             before = len(self.executions("a05"))
@@ -172,7 +177,7 @@
             fleets.wait_until(
                 lambda: all(self.fleet.rows(f"show machines where machine={machine}", entry)[0]
                             ["state"] in ("SILENT", "LOST") for entry in self.fleet.entries),
-                "all entries to notice")
+                "all entries to detect the frozen agent")
             self.wait_for_completed(60)
         finally:
             os.kill(self.fleet.processes[machine].popen.pid, signal.SIGCONT)
@@ -192,8 +197,8 @@
             os.kill(process.pid, signal.SIGCONT)
         resumed = next(entry for entry in self.fleet.entries if entry["name"] == frozen)
         fleets.wait_until(lambda: self.fleet.rows("show targets", resumed)[0]["replicas"] == "4",
-                          "the woken entry to catch up")
-        self.fleet.ctl("set", "tenant", "probe", "rate=1")  # A change after it woke.
+                          "the resumed entry to catch up")
+        self.fleet.ctl("set", "tenant", "probe", "rate=1")  # A change after it resumed.
         self.wait_for_rows("show tenants", 1)
         for entry in self.fleet.entries:
             self.assertEqual(4, len(self.fleet.rows("show replicas where state=LIVE", entry)))
@@ -235,8 +240,10 @@
         self.finish_load(load)
 
     def test_a_stopping_entry_answers_or_refuses_every_call(self):
-        """Callers that come one after the other while each entry in turn is stopped: a call is
-        answered whole, or its connection was refused before a byte of it was sent."""
+        """Callers send one request after the other while each entry in turn is stopped.
+
+        Each request gets a complete response, or its connection is refused before it is sent.
+        """
         broken = []
         answered_count = [0]
 
@@ -292,7 +299,7 @@
                     connection.sendall(payload)
         fleets.wait_until(lambda: b'pumicemast_entry_bad_frames_total{reason="oversize frame"}' in
                           fleets.http_call(self.fleet.entries[0]["operators"], "GET",
-                                           "/metrics")[2], "the counter")
+                                           "/metrics")[2], "the count of the oversize frame")
         self.assertEqual(200, self.request_completion(max_tokens=1)[0])
         for process in self.fleet.processes.values():
             self.assertTrue(process.alive(), process.name)
--- a/tests/processes/late_orders_test.py
+++ b/tests/processes/late_orders_test.py
@@ -1,4 +1,4 @@
-"""An agent process beside an engine that leaves orders to start weights without an answer.
+"""An agent process next to an engine that leaves start orders for new weights unanswered.
 
 Usage: late_orders_test.py BUILD_FOLDER [TEST...]
 """
@@ -14,7 +14,7 @@
 
 
 class WithheldOrders:
-    """Leaves an engine's orders unanswered, to be carried out later."""
+    """Leaves the start orders to an engine unanswered and keeps them, to be carried out later."""
 
     def __init__(self, engine):
         self.engine = engine
@@ -70,7 +70,8 @@
         self.assert_versions_unmixed()
 
     async def test_a_stopping_agent_settles_its_order(self):
-        """Otherwise its successor, which knows of no order, writes over what it still takes."""
+        """Otherwise its successor, which does not know of the order, overwrites staged chunks that
+        the engine may still activate."""
         await self.name_version(2)
         await self.platform.wait(self.order_received, 10)
         self.agent.send_signal(signal.SIGTERM)
--- a/tests/processes/paused_callers.py
+++ b/tests/processes/paused_callers.py
@@ -1,8 +1,8 @@
-"""Callers in a process of their own, which a test can pause: each calls again and again, on a new
-connection each time, until the gateway accepts none.
+"""Callers in a separate process, which a test can pause. Each caller sends one request after the
+other, each on a new connection, until the gateway refuses connections.
 
-Usage: paused_callers.py PORT CALLERS. Prints a JSON object: `answered`, and `broken`, one
-[seconds since the start, what happened] for each call without a whole answer.
+Usage: paused_callers.py PORT CALLERS. Prints a JSON object: `answered` is the number of complete
+responses, and `broken` lists [seconds since the start, error] of each request without one.
 """
 
 import asyncio
--- a/tests/processes/platform_standin.py
+++ b/tests/processes/platform_standin.py
@@ -1,7 +1,8 @@
-"""A small stand-in of the users' platform: store, runners and origin of weights.
+"""A small stand-in for the users' platform: store, back ends and weight origin.
 
-Written from the published protocol alone. One asyncio server plays each address; tests read and
-change its fields directly. It answers just what the gateway and the agent ask.
+It is written from the published protocol alone and shares no code with the programs under test.
+One asyncio server listens on each address; tests read and change its fields directly. Only the
+calls that the gateway and the agent make are supported.
 """
 
 import asyncio
@@ -18,19 +19,19 @@
 LAYERS = 4
 
 
-SO_ATTACH_FILTER = 26  # Of Linux; Python has no name for it.
+SO_ATTACH_FILTER = 26  # From the Linux headers; Python does not define it.
 BPF_RETURN = 0x06
 
 
 def drop_incoming_packets(open_socket):
-    """Loses all further packets to the socket: not one is acknowledged, as behind a cut."""
+    """Drops all further packets to the socket without acknowledgement, like a failed link."""
     program = ctypes.create_string_buffer(struct.pack("HBBI", BPF_RETURN, 0, 0, 0))
     open_socket.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER,
                            struct.pack("HL", 1, ctypes.addressof(program)))
 
 
 async def read_message(reader):
-    """Reads one request: (method, target, headers, body), or None at the end."""
+    """Reads one request: (method, target, headers, body), or None at the end of the stream."""
     head = b""
     while not head.endswith(b"\r\n\r\n"):
         line = await reader.readline()
@@ -64,7 +65,7 @@
         self.host = host
         self.writers = set()
         self.silent = False
-        self.silenced = set()  # Open connections that neither hear nor say anything any more.
+        self.silenced = set()  # Open connections that drop what they receive.
 
     async def start(self):
         self.server = await asyncio.start_server(self.serve, self.host, self.port)
@@ -76,7 +77,7 @@
             writer.transport.abort()
 
     def silence(self, writers):
-        """These open connections go silent for good, without a reset; new ones work."""
+        """Drops all further packets on these connections, without a reset; new ones work."""
         for writer in writers:
             drop_incoming_packets(writer.get_extra_info("socket"))
         self.silenced |= set(writers)
@@ -91,7 +92,7 @@
                 await self.handle(writer, *message)
                 await writer.drain()
         except (ConnectionError, asyncio.IncompleteReadError, asyncio.CancelledError):
-            pass  # The peer left, or the test is over.
+            pass  # The peer closed the connection, or the test has ended.
         finally:
             self.writers.discard(writer)
             writer.close()
@@ -106,19 +107,21 @@
         self.objects = {}
         self.change_log = []
         self.changed = asyncio.Event()
-        self.never_set = asyncio.Event()  # Kept here: what waits for an event alone is collected with it.
+        # Referenced here: a task that waits for an unreferenced event may be garbage collected.
+        self.never_set = asyncio.Event()
         self.down = False
-        self.refused_kinds = set()  # Calls for these are declined.
-        self.page_size = 500  # Objects that one answer lists.
-        self.listed_kinds = []  # Kinds of which a page was read, in order.
-        self.mute = False  # No call is answered any more, also those that wait.
-        self.sent_kinds = []  # Kind of each object that an answer carried.
-        self.held_kinds = set()  # Kinds of which no call is answered until they are taken out.
+        self.refused_kinds = set()  # Calls for these kinds get status 403.
+        self.page_size = 500  # Maximum number of objects in one list response.
+        self.listed_kinds = []  # Kind of each list page that was requested, in order.
+        self.mute = False  # Leaves all calls unanswered, including pending watches.
+        self.sent_kinds = []  # Kind of each single-object read and each watch event sent.
+        self.held_kinds = set()  # Calls for these kinds wait until the kind is removed.
         self.called_kinds = []  # Kind of each call, in order.
-        self.kind_by_connection = {}  # Kind of the last call on each connection.
-        self.on_page_sent = None  # Called with the names of a page that was just read.
-        self.bytes_per_s = {}  # Of answers of a kind; others go at once.
-        self.remaining_stalls = 0  # So many of the long slow answers stop midway for good.
+        self.kind_by_connection = {}  # Kind of the latest call on each connection.
+        self.on_page_sent = None  # Called with the object names of a list page after it was sent.
+        self.bytes_per_s = {}  # By kind: rate of responses; other kinds are not limited.
+        # The next rate-limited responses above 50 kB, this many, stop midway and never continue.
+        self.remaining_stalls = 0
 
     def put(self, kind, name, spec):
         self.revision += 1
@@ -134,7 +137,7 @@
         self.changed.set()
 
     def silence_kind(self, kind):
-        """The open connections on which this kind is followed go silent."""
+        """Silences the open connections whose latest call was for this kind."""
         self.silence([w for w in self.writers if self.kind_by_connection.get(w) == kind])
 
     async def handle(self, writer, method, target, headers, body):
@@ -174,7 +177,7 @@
                 self.on_page_sent([item["metadata"]["name"] for item in rest[:self.page_size]])
 
     def write(self, method, parts, item):
-        """Creates an object, or replaces the one of the revision given: (status, object)."""
+        """Creates an object, or replaces it if the expected revision matches: (status, object)."""
         name = item["metadata"]["name"]
         current = self.objects.get(parts[0], {}).get(name)
         if method == "PUT" and current is None:
@@ -206,7 +209,7 @@
         await self.send(writer, kind, 200, {"events": events, "at": self.revision})
 
     async def send(self, writer, kind, status, content):
-        """Answers, over a slow link where the kind has a rate."""
+        """Sends a response, at the rate in `bytes_per_s` if the kind has one."""
         rate = self.bytes_per_s.get(kind)
         if rate is None:
             send_response(writer, status, content)
@@ -224,7 +227,7 @@
 
 
 def chunk_content(version, number):
-    """Odd pieces are the same in every version."""
+    """Content of a chunk; chunks with an odd number are the same in every version."""
     seed = f"{number}" if number % 2 else f"{version}-{number}"
     return random.Random(seed).randbytes(CHUNK_BYTES)
 
@@ -234,7 +237,7 @@
         super().__init__()
         self.newest = 1
         self.sent_chunks = []
-        self.sent_manifests = 0  # Answers with one.
+        self.sent_manifests = 0
         self.corrupt_once = set()
 
     async def handle(self, writer, method, target, headers, body):
@@ -259,7 +262,7 @@
 
 
 class Backend(Server):
-    """Plays an engine (with weights) or a plain service."""
+    """Simulates an engine (if it has a model) or a plain service."""
 
     def __init__(self, identity, host="127.0.0.1", model=None, version=0):
         super().__init__(host=host)
@@ -268,9 +271,12 @@
         self.version = version
         self.staged = {n: chunk_content(version, n) for n in range(CHUNKS)} if version else {}
         self.orders = []
-        self.seq = 0  # Orders taken in this incarnation.
-        self.activated_chunks = []  # What lay there when an order was taken.
-        self.requests = []  # Headers of what it ran.
+        self.seq = 0  # Number of orders carried out in this incarnation.
+        self.activated_chunks = []  # Staged chunks at the time of each order in `orders`.
+        self.requests = []  # Headers of each executed request.
+        # whole: responds normally. shed: refuses requests without executing them. lost: executes
+        # requests and aborts the connection without a response. break: aborts the next stream in
+        # its fourth event, then responds normally.
         self.mode = "whole"
         self.event_gap = 0.02
         self.events = 10
@@ -310,7 +316,7 @@
         return order.get("expectedRev", self.seq) != self.seq
 
     def activate(self, order):
-        """Takes what lies there; returns the status of the answer."""
+        """Activates the staged chunks; returns the status of the response."""
         if self.is_stale(order):
             return 409
         self.seq += 1
@@ -319,7 +325,7 @@
         self.version = order["version"]
         return 202
 
-    # What others that play a runner may do in their own way.
+    # Methods that subclasses may override.
     async def handle_report(self, writer):
         send_response(writer, 200, self.report())
 
@@ -330,7 +336,7 @@
         self.staged[number] = data
 
     def on_request_started(self, headers):
-        """A request begins to run."""
+        """Called when the execution of a request starts."""
 
     def plain_body(self, headers):
         return f"from {self.identity}".encode()
--- a/tests/processes/platform_test.py
+++ b/tests/processes/platform_test.py
@@ -1,6 +1,7 @@
-"""Real gateway and agent processes on a stand-in of the users' platform.
+"""Gateway and agent processes on a stand-in for the users' platform.
 
-Each test is a promise or a fault; every wait is for a condition, with a generous limit.
+Each test checks a guarantee of the system or a fault that once occurred. Where possible, tests wait
+for a condition, with a generous timeout, instead of a fixed time.
 Usage: platform_test.py BUILD_FOLDER [TEST...]
 """
 
@@ -21,7 +22,7 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 BUILD = Path(sys.argv[1]) if len(sys.argv) > 1 else ROOT / "build"
-ENGINES = ["127.0.0.11", "127.0.0.12"]  # A machine each: agents share one port number.
+ENGINES = ["127.0.0.11", "127.0.0.12"]  # One address per machine: all agents use the same port.
 
 
 def free_port():
@@ -31,22 +32,22 @@
 
 
 class Response:
-    """A response, read whole unless its connection broke."""
+    """A response; it is incomplete if its connection broke."""
 
     def __init__(self, status, headers, body, complete):
         self.status, self.headers, self.body, self.complete = status, headers, body, complete
 
 
 class Platform:
-    """The stand-ins and the processes of the system."""
+    """The stand-ins and the processes under test."""
 
-    slots = 4  # Of each back end.
+    slots = 4  # Per back end.
 
     def __init__(self, folder):
         self.folder = Path(folder)
         self.processes = []
         self.gateway_ports = {}
-        self.environment = None  # Of the processes; None: as this one's.
+        self.environment = None  # Of the started processes; None inherits the one of the test.
 
     async def start(self):
         self.store, self.origin = Store(), Origin()
@@ -147,11 +148,11 @@
 """, stdout)
 
     def run_gateway_without_store(self):
-        """Another one of the zone, that knows only what the first tells it."""
+        """A second gateway of the zone, which learns everything from the first one."""
         return self.run_second_gateway(free_port(), f"127.0.0.1:{self.internal}")
 
     def run_second_gateway(self, store_port, seeds=""):
-        """Another one of the zone."""
+        """A second gateway of the zone."""
         self.second_metrics = free_port()
         self.second_ready = free_port()
         return self.launch("gateway2", "pumicemast-gateway", f"""
@@ -205,7 +206,7 @@
 
     async def call(self, method, target, headers=None, port=None, on_event=None, body=b"",
                    host="127.0.0.1"):
-        """One request on its own connection."""
+        """Sends one request on a new connection; returns the response."""
         reader, writer = await asyncio.open_connection(host, port or self.callers)
         fields = {"Host": "api.example", "X-Api-Key": "key", "X-Pumicemast-Request-Id": "q1",
                   "X-Pumicemast-Deadline-Ms": "5000", "X-Pumicemast-Model": "m",
@@ -259,14 +260,14 @@
                 return
             if asyncio.get_running_loop().time() > end:
                 raise AssertionError(
-                    f"{condition} did not come true in {limit} s{self.describe_exited_processes()}")
+                    f"{condition} was not met within {limit} s{self.describe_exited_processes()}")
             await asyncio.sleep(0.05)
 
     def describe_exited_processes(self):
-        """What processes that ended by themselves said last."""
+        """Number of exited processes and, if there are any, the end of each log."""
         exited = [p for p in self.processes if p.poll() is not None]
         logs = sorted(self.folder.glob("*.log"))
-        lines = [f"; {len(exited)} of {len(self.processes)} processes ended"]
+        lines = [f"; {len(exited)} of {len(self.processes)} processes exited"]
         if exited:
             lines += [f"{log.name}: {log.read_text(errors='replace')[-600:]}" for log in logs]
         return "\n".join(lines)
@@ -308,7 +309,7 @@
         async def route_exists():
             return (await self.platform.call("GET", "/new/1")).status == 200
         await self.platform.wait(route_exists, 2)
-        self.platform.configure(1)  # An older one never comes back into force.
+        self.platform.configure(1)  # An older version is never applied.
         await asyncio.sleep(0.6)
         self.assertEqual(200, (await self.platform.call("GET", "/new/1")).status)
 
@@ -326,7 +327,7 @@
             platform.configure(version, extra=extra)
             await asyncio.sleep(0.05)
         await platform.wait(lambda: self.route_exists("new49"), limit=2)
-        # One answer with each of 40 versions would be 40.
+        # Sending each of the 40 versions would give 40.
         self.assertLessEqual(store.sent_kinds.count("config"), 10)
 
     async def test_a_large_configuration_is_fetched_from_another_gateway(self):
@@ -346,21 +347,20 @@
         sent = await platform.metric("pumicemast_gateway_configuration_sent_bytes_total",
                                      platform.metrics_port)
         document = len(json.dumps(platform.store.objects["config"]["main"]["spec"]))
-        self.assertGreater(sent, document / 2)  # It was not the store that brought it.
+        self.assertGreater(sent, document / 2)  # The gateway sent it, not the store.
         self.assertLess(sent, 2.5 * document)
         pattern = re.compile(rf"version=3 source=gateway from=127.0.0.1:{platform.internal} "
                           r"bytes=\d+ lag_ms=\d+ routes=3004 state=IN_FORCE")
         log = platform.folder / "gateway2.log"
         await platform.wait(lambda: pattern.search(log.read_text()), limit=3)
 
-    # What users saw: routes of a new configuration were not found for seconds after it was
-    # acknowledged. Order of events: a document of several hundred KB is read over a full link; the
-    # reading is given up after a fixed time, and begins anew. Cause: the limit was one for the whole
-    # answer, also while it came in.
+    # Guards against a fixed timeout for an entire response: a document of several hundred kB on a
+    # saturated link exceeded it, the read was given up and restarted, and routes of an acknowledged
+    # configuration returned 404 for seconds. The timeout must not end a response that is arriving.
     async def test_a_large_configuration_is_read_over_a_slow_link_after_quick_changes(self):
         platform = self.platform
         platform.store.bytes_per_s["config"] = 400_000
-        # Changes in quick succession are read as states, not as events.
+        # After quick changes the gateway reads the current state instead of events.
         for version in (2, 3):
             platform.configure(version, extra=[platform.route("/new/", "safe", "plain", 1)])
             await asyncio.sleep(0.3)
@@ -375,9 +375,8 @@
         platform.gateway = platform.run_gateway()
         await platform.wait(lambda: platform.ready(), limit=5)
 
-    # What users saw: links that stayed full while agents were stopped and started in turn. Order of
-    # events: an agent reads the configuration at its start, gives it up after a fixed time and begins
-    # anew. Cause: the limit was one for the whole answer.
+    # Guards against a fixed timeout for an entire response: agents that were restarted in turn gave
+    # up reading a large configuration and began again, which kept the links saturated.
     async def test_an_agent_reads_a_large_configuration_once_over_a_slow_link(self):
         platform = self.platform
         for host in platform.processes[:2]:
@@ -390,9 +389,9 @@
         await asyncio.sleep(6)
         self.assertEqual(1, platform.store.sent_kinds.count("config"))
 
-    # What users saw: a gateway ended over its memory limit while configurations came in. Order of
-    # events: an answer of the watch is held up, and then carries all versions since. Cause: the tree
-    # of a document takes seven times its text, and all versions were parsed at once.
+    # A delayed watch response carries all versions since. The gateway parsed all of them at once,
+    # and the tree of a document takes seven times the memory of its text, so that the gateway
+    # exceeded its memory limit and was killed.
     async def test_many_large_versions_in_one_answer_take_little_memory(self):
         platform = self.platform
         await asyncio.sleep(0.5)
@@ -431,9 +430,8 @@
     def gateway_log(self):
         return (Path(self.folder.name) / "gateway.log").read_text()
 
-    # Engines worked on old weights for seconds after new ones were named: the connection of one
-    # watch had gone silent while new connections worked, and nothing but the end of the call's
-    # time (8.7 s) showed it.
+    # A watch whose connection went silent while new connections worked was detected only when the
+    # call timed out (8.7 s), and engines served outdated weights for seconds.
     async def test_a_silent_versions_watch_is_detected_soon(self):
         store = self.platform.store
         await asyncio.sleep(1)
@@ -442,10 +440,11 @@
         await asyncio.sleep(0.2)
         store.put("versions", "m", {"model": "m", "version": 2})
         await self.platform.wait(lambda: "weights model=m version=2" in self.gateway_log(), 4)
-        # The two agents read old lists, every 2 s; the rest are the gateway's, which are priced.
+        # Two agents poll the list every 2 s; the remaining calls are the gateway's, which have a
+        # price and so must be few.
         self.assertLessEqual(store.called_kinds.count("versions"), 2 * 3 + 3)
 
-    # New routes answered 404 for seconds: the same, with the watch of the configuration.
+    # The same fault on the watch of the configuration: new routes returned 404 for seconds.
     async def test_a_silent_configuration_watch_is_detected_soon(self):
         platform = self.platform
         await asyncio.sleep(1)
@@ -454,13 +453,14 @@
         platform.configure(2, extra=[platform.route("/new/", "safe", "plain", 1)])
         await platform.wait(lambda: self.route_exists("new"), limit=4)
 
-    # Requests that can't be repeated failed: they were sent on a kept connection that had gone
-    # silent while it rested, and so looked sent.
+    # Non-repeatable requests failed: they were sent on an idle connection that had gone silent, and
+    # so counted as possibly executed.
     async def test_a_silent_idle_connection_is_not_reused(self):
         platform = self.platform
         for _ in range(6):
             self.assertEqual(200, (await platform.call("GET", "/read/1")).status)
-        await asyncio.sleep(0.3)  # All is acknowledged: else a runner would send again what was not.
+        # All packets are acknowledged by then: a back end would retransmit the others.
+        await asyncio.sleep(0.3)
         for backend in platform.plain:
             self.assertTrue(backend.writers)
             backend.silence(backend.writers)
@@ -468,8 +468,8 @@
         for _ in range(4):
             self.assertEqual(200, (await platform.call("POST", "/write/1")).status)
 
-    # Requests began on old weights after the time that is allowed: a version that the first
-    # answer after a loss told was taken as named at that moment, and not during the loss.
+    # Requests started on outdated weights after the allowed time: a version in the first response
+    # after a store outage was dated to that moment, although it was named during the outage.
     async def test_a_version_named_during_a_store_outage_is_not_treated_as_new(self):
         platform = self.platform
         await asyncio.sleep(1)
@@ -503,7 +503,7 @@
         response = await self.platform.call("POST", "/chat/1")
         resumed = [r for e in self.platform.engines for r in e.requests if "last-event-id" in r]
         self.assertEqual("3", resumed[0]["last-event-id"])
-        # The second one breaks as well: no attempt is left, and the answer must look broken.
+        # The second stream breaks too: no attempt is left, and the response must be incomplete.
         self.assertFalse(response.complete)
 
     async def test_a_stream_broken_once_is_resumed_completely(self):
@@ -525,7 +525,7 @@
         self.assertEqual(before, len(self.platform.plain[0].requests))
 
     async def test_agents_read_all_pages_of_a_list(self):
-        """Without a gateway that tells them what it read, they read the store themselves."""
+        """Without a gateway that relays the list, agents read it from the store."""
         self.platform.gateway.send_signal(signal.SIGTERM)
         await self.platform.wait(lambda: self.platform.gateway.poll() is not None, 8)
         self.platform.store.page_size = 1
@@ -542,12 +542,12 @@
             self.assertIn(b"version=2 held=4 of=8 peers=2", log)
 
     async def test_agents_do_not_poll_the_store_while_a_gateway_relays_changes(self):
-        """Each read the whole list every two seconds; the links to the store were full of it."""
+        """Each agent read the full list every two seconds, which saturated the store's links."""
         await asyncio.sleep(1)
         listed = len(self.platform.store.listed_kinds)
         await asyncio.sleep(6)
         self.assertEqual(0, self.platform.store.listed_kinds[listed:].count("servers"))
-        # What changes reaches them all the same: an engine more takes part in the next version.
+        # Changes still reach the agents: an added engine counts as a peer for the next version.
         added = self.platform.engines[0]
         self.platform.store.put("servers", "i-joining", {
             "service": "engines", "address": f"127.0.0.77:{added.port}", "zone": "z1",
@@ -577,7 +577,7 @@
             return (await self.platform.call("GET", "/read/1")).status == 200
         await self.platform.wait(p2_answers)
         self.assertIsNone(self.platform.store.on_page_sent)
-        await asyncio.sleep(1.5)  # The bound for leaving back ends.
+        await asyncio.sleep(1.5)  # Time limit for gateways to stop using a draining back end.
         before = len(self.platform.plain[0].requests)
         for _ in range(6):
             self.assertEqual(200, (await self.platform.call("GET", "/read/1")).status)
@@ -592,7 +592,7 @@
             self.assertEqual({n: chunk_content(2, n) for n in range(CHUNKS)},
                              engine.activated_chunks[-1])
         sent = [n for version, n in self.platform.origin.sent_chunks if version == 2]
-        self.assertEqual({0, 2, 4, 6}, set(sent))  # Odd pieces were held already.
+        self.assertEqual({0, 2, 4, 6}, set(sent))  # Odd chunks are the same in all versions.
         self.assertLessEqual(len(sent), 6)
 
         async def on_new_weights():
@@ -601,14 +601,14 @@
         await self.platform.wait(on_new_weights)
 
     async def test_an_agent_without_known_peers_fetches_nothing(self):
-        """Agents that were started anew drew whole copies from the origin before they had heard of
-        those beside engines that hold the weights."""
+        """Restarted agents fetched full copies from the origin before they knew of the agents whose
+        engines hold the weights."""
         self.platform.gateway.send_signal(signal.SIGSTOP)
         agent = self.platform.processes[0]
         agent.kill()
         agent.wait()
         engine = self.platform.engines[0]
-        engine.version, engine.staged = 0, {}  # Its machine was without power.
+        engine.version, engine.staged = 0, {}  # As after a power loss of its machine.
         before = (len(self.platform.origin.sent_chunks), self.platform.origin.sent_manifests)
         self.platform.run_host(0, engine)
         await asyncio.sleep(2)
@@ -619,7 +619,8 @@
         self.assertEqual(before[0], len(self.platform.origin.sent_chunks))
 
     async def test_no_idle_connection_stays_open_at_the_origin(self):
-        # What machines that lost power leave open there would shut everyone out.
+        # Connections left open by machines that lost power would use up the origin's connections
+        # and lock out all other machines.
         self.platform.origin.newest = 2
         self.platform.store.put("versions", "m", {"model": "m", "version": 2})
         await self.platform.wait(lambda: all(e.version == 2 for e in self.platform.engines), 10)
@@ -627,8 +628,8 @@
 
     async def test_corrupt_staging_memory_is_repaired_before_a_start(self):
         engine = self.platform.engines[0]
-        engine.staged[3] = b"rotten"
-        engine.version = 0  # The engine was started anew and holds no layers.
+        engine.staged[3] = b"corrupt"
+        engine.version = 0  # The engine was restarted and holds no layers.
         await self.platform.wait(lambda: engine.version == 1, 10)
         self.assertEqual(chunk_content(1, 3), engine.activated_chunks[-1][3])
 
@@ -651,9 +652,9 @@
             "GET", "/ready", port=self.platform.ready_port)).status == 503
 
     async def test_callers_during_a_stop_are_answered_or_refused(self):
-        """Callers that do not heed the readiness: each call is answered whole, or its connection
-        was refused before a byte of it was sent."""
-        broken = []  # Each with its second.
+        """Callers ignore the readiness state: each request gets a complete response, or its
+        connection is refused before it is sent."""
+        broken = []  # (seconds since the start, error or response) of each failed request.
         answered_count = [0]
         loop = asyncio.get_running_loop()
         begin = loop.time()
@@ -681,7 +682,7 @@
         self.assertGreater(answered_count[0], 100)
 
     async def call_with_delays(self, connect_after, send_after):
-        """Connects and sends its request so long after the gateway was told to stop."""
+        """Connects and sends a request, each so many seconds after this call."""
         await asyncio.sleep(connect_after)
         reader, writer = await asyncio.open_connection("127.0.0.1", self.platform.callers)
         await asyncio.sleep(send_after - connect_after)
@@ -690,8 +691,8 @@
         return await self.platform.read_response(reader, None)
 
     async def test_callers_that_are_slow_to_send_are_answered_during_a_stop(self):
-        """On a loaded machine a second passes between a caller's connecting and its request: the
-        gateway closed such connections after half a second, and its callers got no answer."""
+        """On a loaded machine a caller may send its request a second after it connected. The
+        gateway closed such connections after half a second, and the callers got no response."""
         self.platform.gateway.terminate()
         responses = await asyncio.gather(self.call_with_delays(0.0, 1.2),
                                          self.call_with_delays(2.0, 3.2),
@@ -701,8 +702,8 @@
         await self.platform.wait(lambda: self.platform.gateway.poll() == 0, limit=4)
 
     async def test_callers_whose_process_is_paused_are_answered_during_a_stop(self):
-        """On a loaded machine callers stood still between connecting and sending: the gateway
-        closed their connections after half a second, six of them at once."""
+        """On a loaded machine callers were not scheduled between connecting and sending. The
+        gateway closed their connections after half a second, six of them at once."""
         callers = await asyncio.create_subprocess_exec(
             sys.executable, Path(__file__).with_name("paused_callers.py"),
             str(self.platform.callers), "40", stdout=asyncio.subprocess.PIPE)
@@ -720,8 +721,8 @@
         await self.platform.wait(lambda: self.platform.gateway.poll() == 0, limit=4)
 
     async def test_the_rest_of_a_request_on_a_keep_alive_connection_is_awaited_during_a_stop(self):
-        """A caller that stood still in the middle of its second request got no answer: only first
-        requests were waited for."""
+        """A caller that paused in the middle of its second request got no response: the gateway
+        waited only for the first request of a connection."""
         self.platform.configure(2, header_timeout_ms=9000)
         await asyncio.sleep(1)
         reader, writer = await asyncio.open_connection("127.0.0.1", self.platform.callers)
@@ -737,8 +738,8 @@
         await self.platform.wait(lambda: self.platform.gateway.poll() == 0, limit=4)
 
     async def test_a_gateway_that_starts_gets_the_list_from_the_contact_of_its_zone(self):
-        """Hundreds of processes that each read the list from the store at a start filled the links
-        to it for many seconds."""
+        """Hundreds of processes that each read the list from the store at startup saturated the
+        links to it for many seconds."""
         contact = self.platform.store.objects["gateway-contacts"]["z1"]
         self.assertEqual({"gateway": f"127.0.0.1:{self.platform.internal}"}, contact["spec"])
         before = self.platform.store.listed_kinds.count("servers")
@@ -750,7 +751,7 @@
         self.assertIn(b"source=gateway", log.read_bytes())
 
     async def test_an_unreachable_contact_is_replaced(self):
-        """All power is back but for the machine that the zone's contact ran on."""
+        """As after a power outage from which the machine of the zone's contact does not return."""
         self.platform.gateway.kill()
         self.platform.gateway.wait()
         self.platform.run_second_gateway(self.platform.store.port)
--- a/tests/processes/process_test.py
+++ b/tests/processes/process_test.py
@@ -1,4 +1,4 @@
-"""What the real-process tests share: a small fleet with one model live."""
+"""Shared base of the tests with real processes: a small fleet and operations on it."""
 
 import json
 import pathlib
@@ -10,14 +10,14 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
 sys.path.insert(0, str(ROOT / "scripts"))
 
-import fleet as fleets  # noqa: E402  (found only after the path is set)
+import fleet as fleets  # noqa: E402  (importable only after the path is set)
 
 BUILD = None  # Set by main().
 KNOWN_FAILURES_FILE = ROOT / "KNOWN-RED.txt"
 
 
 def known_failures():
-    """Names of the tests that are known to fail, as `module.Class.test`."""
+    """Names of the tests listed as known to fail, as `module.Class.test`."""
     if not KNOWN_FAILURES_FILE.exists():
         return set()
     lines = KNOWN_FAILURES_FILE.read_text().splitlines()
@@ -34,7 +34,7 @@
 
 
 class ProcessTest(unittest.TestCase):
-    """A fleet of real processes; options of Fleet in `fleet_options`."""
+    """Starts a fleet of real processes; `fleet_options` are passed to Fleet."""
 
     fleet_options = {}
 
@@ -66,12 +66,12 @@
             self.wait_for_rows("show targets", 1)
         self.fleet.ctl("create", "rollout", "forms", version,
                        *(f"{key}={value}" for key, value in options.items()))
-        # The entry asked next may not have seen the new rollout yet.
+        # The entry that serves the next command may not have read the new rollout yet.
         self.wait_for_rows(f"show rollouts where version={version}", 1)
         self.fleet.ctl("watch", "rollout", "forms")
 
     def call(self, path, body, entry=0, headers=None, timeout=30):
-        """A caller's request; returns (status, headers in lower case, body)."""
+        """Sends a request as a caller; returns (status, headers with lower-case names, body)."""
         status, response_headers, response = fleets.http_call(
             self.fleet.entries[entry]["callers"], "POST", path, json.dumps(body),
             {"Content-Type": "application/json", **(headers or {})}, timeout)
@@ -87,7 +87,7 @@
 
 
 def main():
-    """Runs the calling module's tests; the build folder is the first argument."""
+    """Runs the tests of the main module; the first argument is the build folder."""
     global BUILD
     BUILD = str(pathlib.Path(sys.argv.pop(1)).resolve())
     unittest.main(module="__main__", verbosity=2)
--- a/tests/processes/rate_limit_test.py
+++ b/tests/processes/rate_limit_test.py
@@ -1,11 +1,10 @@
-"""Real gateways before back ends that name how many requests a second they take of all together.
+"""Gateway processes in front of back ends that send a rate limit for all gateways together.
 
-What users saw: an engine named a limit of 1 request a second, and three seconds later still got 21
-requests in 4 s from gateways that it had told. Order of events: engines were added, two others
-named limits, every gateway went on sending. Cause: no gateway read the limit, and a limited engine,
-with its empty queue and free slots, was the first choice of each. Evidence: the field stands in
-the answers that were passed on, nothing in the gateways' logs or metrics changes when it appears,
-and the limited engine's share of the requests is no smaller than before.
+Guards against gateways that ignore such limits. A limited engine has an empty queue and free slots,
+so that every gateway preferred it: an engine with a limit of 1 request per second still got 21
+requests in 4 s, three seconds after it had sent the limit to the same gateways. The limit was in
+the responses that they relayed, but changed neither their logs or metrics nor the engine's share of
+the requests.
 
 Usage: rate_limit_test.py BUILD_FOLDER [TEST...]
 """
@@ -21,14 +20,14 @@
 
 GATEWAYS = ["127.0.0.1", "127.0.0.2", "127.0.0.3"]
 WINDOW_S = 4.0
-# Until all gateways hold a limit that one of them was told.
+# Time until all gateways keep a limit that was sent to one of them.
 SETTLE_S = 1.0
-# Requests above the rate in a window.
+# Requests allowed above the rate in a window.
 ALLOWED_BURST = 2
 
 
 class RateLimitedBackend(Backend):
-    """Names a limit in its answers while it has one, and notes when requests come."""
+    """Sends its limit, if any, in responses and records the arrival times of requests."""
 
     def __init__(self, *arguments):
         super().__init__(*arguments)
@@ -54,7 +53,7 @@
         return {**super().report(), "running": self.running}
 
     def max_arrivals_in_window(self, since, until):
-        """The most requests that came within any window between two moments."""
+        """The largest number of arrivals in any window of WINDOW_S in the time span."""
         times = [at for at in self.arrivals if since <= at <= until]
         return max((sum(1 for other in times if at <= other < at + WINDOW_S) for at in times),
                    default=0)
@@ -64,9 +63,9 @@
 
 
 class RateLimitedPlatform(Platform):
-    """Three gateways before two engines and two plain services that may name limits."""
+    """Three gateways in front of two engines and two plain services that may send limits."""
 
-    slots = 24  # Whoever is refused is refused for a limit.
+    slots = 24  # Enough that requests are refused only because of a rate limit.
 
     async def start(self):
         await super().start()
@@ -134,7 +133,10 @@
         return asyncio.get_running_loop().time()
 
     async def load(self, target, rate, seconds):
-        """Open arrivals over all gateways in turn; the answers and how long each took."""
+        """Sends requests at a fixed rate, without waiting for responses, to all gateways in turn.
+
+        Returns the responses and the duration of each in seconds.
+        """
         async def call_one(number):
             host = GATEWAYS[number % len(GATEWAYS)]
             started_at = self.now()
@@ -150,8 +152,11 @@
         return await asyncio.gather(*calls)
 
     async def load_limited(self, backends, target, limit, rate, seconds):
-        """All `runners` name the limit under load; the answers from when it must hold on, and
-        that span."""
+        """Sets the limit of all `backends` and runs load.
+
+        Returns the responses after SETTLE_S, from when on the limit must hold, and the start and
+        end of that time span.
+        """
         for backend in backends:
             backend.limit = limit
         await self.load(target, rate, SETTLE_S)
--- a/tests/processes/whole_path_test.py
+++ b/tests/processes/whole_path_test.py
@@ -1,4 +1,4 @@
-"""The whole path with real processes: publish, roll out, serve, change one's mind, stop."""
+"""End-to-end test with real processes: publish, roll out, serve, roll back and planned stop."""
 
 import hashlib
 import json
@@ -83,7 +83,8 @@
         self.fleet.ctl("set", "route", "notices", "path=/notices", "service=notices")
         self.wait_for_rows("show routes", 1)
         non_repeatable = {"X-Non-Repeatable": "true", "Idempotency-Key": "k1"}
-        fleets.wait_until(lambda: self.call("/notices/send", {"n": 1})[0] == 200, "the route")
+        fleets.wait_until(lambda: self.call("/notices/send", {"n": 1})[0] == 200,
+                          "the route to be applied")
         before = len(self.executions("a05"))
         status, headers, body = self.call("/notices/send", {"n": 2}, headers=non_repeatable)
         self.assertEqual((200, "completed"), (status, headers["x-outcome"]))
@@ -126,7 +127,7 @@
         self.assertEqual(tag, self.tag())
 
     def tag(self):
-        """The tag of the weights that answer; every replica must give the same."""
+        """The tag of the serving weights in completions; all replicas must return the same."""
         tags = set()
         for entry in range(3):
             status, _, body = self.request_completion(entry=entry, max_tokens=1)
@@ -139,9 +140,10 @@
         machine = self.fleet.rows("show replicas where state=LIVE")[0]["machine"]
         self.fleet.ctl("plan", "stop", machine)
         fleets.wait_until(lambda: self.fleet.rows("show stops")[0]["state"] == "DRAINED",
-                          "the stop")
+                          "the planned stop to drain the machine")
         fleets.wait_until(lambda: not [row for row in self.fleet.rows("show replicas")
-                                       if row["machine"] == machine], "the drained replica to go")
+                                       if row["machine"] == machine],
+                          "the drained replica to be removed")
         before = len(self.executions(machine))
         for _ in range(12):
             self.assertEqual(200, self.request_completion(max_tokens=1)[0])
@@ -150,7 +152,7 @@
 
 
 class SettingsRefusalTest(unittest.TestCase):
-    """Every binary refuses a bad settings file: all findings, exit 2, nothing started."""
+    """Every program rejects invalid settings: prints all findings, exits with 2, starts nothing."""
 
     def test_every_binary(self):
         import tempfile
