--- a/tests/processes/platform_test.py
+++ b/tests/processes/platform_test.py
@@ -392,7 +392,7 @@
     # A delayed watch response carries all versions since. The gateway parsed all of them at once,
     # and the tree of a document takes seven times the memory of its text, so that the gateway
     # exceeded its memory limit and was killed.
-    async def test_many_large_versions_in_one_answer_take_little_memory(self):
+    async def test_many_large_versions_in_one_response_take_little_memory(self):
         platform = self.platform
         await asyncio.sleep(0.5)
         platform.store.held_kinds.add("config")
