--- a/scripts/bench.py
+++ b/scripts/bench.py
@@ -53,7 +53,7 @@
                 self.peak_resident = max(self.peak_resident, resident_bytes(pid))
 
 
-def live_times(fleet, agents, started):
+def times_to_live(fleet, agents, started):
     """Seconds from `started` until each replica was live, from the agents' logs."""
     import datetime
     times = []
@@ -99,26 +99,26 @@
             sampler.join()
             cpu = sum(cpu_seconds(fleet.processes[agent].popen.pid) - before[agent]
                       for agent in agents)
-            times = live_times(fleet, agents, started)
+            times = times_to_live(fleet, agents, started)
             rows = fleet.rows("show machines")
             origin = fleet.stats(fleet.origin)["chunk_bytes_out"]
     bound = fluid_bound_s(arguments.agents, size, origin_rate, link_rate)
-    received = sum(int(row["origin_bytes"]) + int(row["peer_bytes"]) for row in rows)
-    peer = sum(int(row["peer_bytes"]) for row in rows)
+    received_bytes = sum(int(row["origin_bytes"]) + int(row["peer_bytes"]) for row in rows)
+    peer_bytes = sum(int(row["peer_bytes"]) for row in rows)
     figures = [
         ("agents", arguments.agents, "agents"), ("replicas_live", len(times), "replicas"),
         ("bound", bound, "s"), ("time_to_half_live", times[len(times) // 2 - 1], "s"),
         ("time_to_all_live", times[-1], "s"), ("time_to_all_live_ratio", times[-1] / bound, "x"),
         ("origin_copies", origin / size, "copies"),
-        ("duplicate_bytes_ratio", received / (arguments.agents * size) - 1, "x"),
-        ("agent_cpu_seconds_per_gib", cpu / ((received + peer) / GIBIBYTE), "s/GiB"),
+        ("duplicate_bytes_ratio", received_bytes / (arguments.agents * size) - 1, "x"),
+        ("agent_cpu_seconds_per_gib", cpu / ((received_bytes + peer_bytes) / GIBIBYTE), "s/GiB"),
         ("agent_peak_resident", sampler.peak_resident / MEBIBYTE, "MiB")]
     for name, value, unit in figures:
         print(f"figure {name} {value:.4g} {unit}")
     return 0 if len(times) == arguments.agents else 1
 
 
-def hollow_process(fleet, name, agents, first, zones):
+def start_hollow_process(fleet, name, agents, first, zones):
     path = fleets.write_ini(fleet.folder / f"{name}.ini", {
         "hollow": {"entries": ";".join(entry["agents"] for entry in fleet.entries),
                    "agents": agents, "first_number": first, "zones": zones}})
@@ -126,32 +126,32 @@
                           fleet.folder)
 
 
-def figure_of(process, name):
+def read_figure(process, name):
     for line in process.log.read_text().splitlines():
         if line.startswith(f"figure {name} "):
             return float(line.split()[2])
     raise ValueError(f"{process.name} printed no figure {name}")
 
 
-def measure_entry(fleet, pid, seconds):
+def measure_entry_usage(fleet, pid, seconds):
     """Share of a core and resident bytes of the entry over some seconds of steady state."""
     before = cpu_seconds(pid)
     time.sleep(seconds)
     return (cpu_seconds(pid) - before) / seconds, resident_bytes(pid)
 
 
-def scale_step(arguments, folder, count):
+def measure_scale_step(arguments, folder, count):
     """One real entry before `count` hollow agents."""
     with fleets.Fleet(folder / str(count), arguments.build, zones=1, entries=1, engines=0,
                       services=0) as fleet:
         pid = fleet.processes["e1"].popen.pid
-        hollow = [hollow_process(fleet, f"hollow-{first}",
-                                 min(arguments.agents_per_process, count - first), first, 8)
+        hollow = [start_hollow_process(fleet, f"hollow-{first}",
+                                       min(arguments.agents_per_process, count - first), first, 8)
                   for first in range(0, count, arguments.agents_per_process)]
         try:
             fleets.wait_until(lambda: len(fleet.rows("show machines where state=SERVING"))
                               == count, f"{count} hollow agents")
-            cpu, resident = measure_entry(fleet, pid, arguments.seconds)
+            cpu, resident = measure_entry_usage(fleet, pid, arguments.seconds)
             print(f"figure entry_cpu_at_{count}_agents {cpu:.4f} cores")
             print(f"figure entry_resident_at_{count}_agents {resident / MEBIBYTE:.1f} MiB")
             if count == 0:
@@ -161,18 +161,18 @@
                       "chunks=1")
             fleet.ctl("set", "target", "forms", f"replicas={replicas}")
             started = time.monotonic()
-            cpu_before = cpu_seconds(pid)
+            cpu_start = cpu_seconds(pid)
             fleet.ctl("create", "rollout", "forms", "v1")
             fleet.ctl("watch", "rollout", "forms")
-            taken = time.monotonic() - started
-            print(f"figure rollout_of_{replicas}_at_{count}_agents {taken:.2f} s")
-            print(f"figure rollout_cpu_at_{count}_agents {cpu_seconds(pid) - cpu_before:.2f} s")
+            elapsed = time.monotonic() - started
+            print(f"figure rollout_of_{replicas}_at_{count}_agents {elapsed:.2f} s")
+            print(f"figure rollout_cpu_at_{count}_agents {cpu_seconds(pid) - cpu_start:.2f} s")
         finally:
             for process in hollow:
                 process.stop()
             for process in hollow:
                 process.wait()
-        total = {name: sum(figure_of(process, name) for process in hollow)
+        total = {name: sum(read_figure(process, name) for process in hollow)
                  for name in ("statuses_sent", "status_bytes_sent", "assignments_received",
                               "assignment_bytes_received")}
         print(f"figure status_bytes_at_{count}_agents "
@@ -186,7 +186,7 @@
 def scale(arguments):
     with tempfile.TemporaryDirectory(prefix="pumicemast-") as folder:
         for count in map(int, arguments.agents.split(",")):
-            scale_step(arguments, pathlib.Path(folder), count)
+            measure_scale_step(arguments, pathlib.Path(folder), count)
     return 0
 
 
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -14,19 +14,19 @@
 
 import fleet as fleets
 
-SEEDED_FILES = {"model-00001-of-00002.bin": 40 << 20, "model-00002-of-00002.bin": 20 << 20,
+WEIGHT_FILES = {"model-00001-of-00002.bin": 40 << 20, "model-00002-of-00002.bin": 20 << 20,
                 "tokenizer/vocabulary.bin": 3 << 20, "config.json": 700}
 CHUNK_BYTES = 1 << 20
 #: The links carry the model twice in this time, the origin four times.
-ALLOWED_S = 12
+LINK_TIME_S = 12
 REPLICAS = 8
-FLOOR = 5
+MINIMUM_LIVE_REPLICAS = 5
 
 
 def make_weights(folder, seed):
     """A directory of seeded weight files."""
     generator = random.Random(seed)
-    for name, size in SEEDED_FILES.items():
+    for name, size in WEIGHT_FILES.items():
         path = folder / name
         path.parent.mkdir(parents=True, exist_ok=True)
         path.write_bytes(generator.randbytes(size))
@@ -53,7 +53,7 @@
 
 def verify_engine_files(fleet, rows, digest, folder):
     """Reads every file back from every engine; returns how many differ."""
-    wrong = 0
+    mismatches = 0
     for row in rows:
         backend = fleet.machine(row["machine"])["backend"]
         for path in sorted(folder.rglob("*")):
@@ -62,10 +62,10 @@
             name = path.relative_to(folder).as_posix()
             status, _, body = fleets.http_call(
                 backend, "GET", f"/admin/file?digest={digest}&path={urllib.parse.quote(name)}")
-            want = hashlib.sha256(path.read_bytes()).digest()
-            if status != 200 or hashlib.sha256(body).digest() != want:
-                wrong += 1
-    return wrong
+            expected = hashlib.sha256(path.read_bytes()).digest()
+            if status != 200 or hashlib.sha256(body).digest() != expected:
+                mismatches += 1
+    return mismatches
 
 
 def metric(fleet, machine, name):
@@ -88,40 +88,40 @@
                             stdout=subprocess.PIPE, text=True)
 
 
-def roll_out(fleet, version, before_end=None):
+def roll_out(fleet, version, during_rollout=None):
     """Creates a rollout and waits for its end; returns the seconds until all were live."""
     started = time.monotonic()
     fleet.ctl("create", "rollout", "forms", version, "max_unavailable=3")
-    if before_end:
-        before_end()
+    if during_rollout:
+        during_rollout()
     fleet.ctl("watch", "rollout", "forms")
     return time.monotonic() - started
 
 
-def kill_one_in_mid_transfer(fleet, stopping):
-    def fetching():
+def kill_agent_during_transfer(fleet, stopping):
+    def find_fetching_agent():
         for row in fleet.rows("show replicas where version=v2 and state=FETCHING"):
             verified, count = map(int, row["chunks"].split("/"))
             if 0 < verified < count and row["machine"] != stopping:
                 return row["machine"]
         return None
-    fleets.wait_until(fetching, "an agent in mid-transfer")
-    victim = fetching()
+    fleets.wait_until(find_fetching_agent, "an agent in mid-transfer")
+    victim = find_fetching_agent()
     if victim:
         fleet.kill(victim)
     return victim
 
 
-def stop_as_planned(fleet, machine):
+def perform_planned_stop(fleet, machine):
     """Plans a stop under load and waits until it is drained; returns what it cut off."""
     fleet.ctl("plan", "stop", machine)
     fleets.wait_until(lambda: fleet.rows(f"show stops where machine={machine}")[0]["state"]
                       == "DRAINED", f"the stop of {machine}")
-    cut_off = metric(fleet, machine, "pumicemast_agent_requests_cancelled_total")
+    cancelled = metric(fleet, machine, "pumicemast_agent_requests_cancelled_total")
     text = fleets.http_call(fleet.machine(machine)["http"], "GET", "/metrics")[2].decode()
     unfinished = re.search(
         r'^pumicemast_agent_requests_finished_total{whole="no"} (\S+)$', text, re.MULTILINE)
-    return cut_off + (float(unfinished.group(1)) if unfinished else 0)
+    return cancelled + (float(unfinished.group(1)) if unfinished else 0)
 
 
 def run(arguments, folder):
@@ -131,12 +131,13 @@
     size = total_bytes(first)
     figures = {}
     with fleets.Fleet(folder / "run", arguments.build, zones=3, entries=6, engines=10, services=2,
-                      origin_bytes_per_second=max(4 * size // ALLOWED_S, 1 << 20),
-                      link_bytes_per_second=max(2 * size // ALLOWED_S, 1 << 20),
+                      origin_bytes_per_second=max(4 * size // LINK_TIME_S, 1 << 20),
+                      link_bytes_per_second=max(2 * size // LINK_TIME_S, 1 << 20),
                       engine={"memory_bytes": 8 * size + (64 << 20)}) as fleet:
         chunk = ("--chunk-bytes", str(CHUNK_BYTES))
         fleet.ctl("publish", "forms", "v1", str(first), options=chunk)
-        fleet.ctl("set", "target", "forms", f"replicas={REPLICAS}", f"floor={FLOOR}")
+        fleet.ctl("set", "target", "forms", f"replicas={REPLICAS}",
+                  f"floor={MINIMUM_LIVE_REPLICAS}")
         fleet.ctl("set", "route", "notices", "path=/notices", "service=notices")
         for tenant in range(3):
             fleet.ctl("set", "tenant", f"tenant-{tenant}", "rate=600", "burst=600")
@@ -158,9 +159,10 @@
         stopping = live[0]["machine"]
         killed = []
         figures["time_to_all_live_v2"] = (
-            roll_out(fleet, "v2", lambda: killed.append(kill_one_in_mid_transfer(fleet, stopping))),
+            roll_out(fleet, "v2",
+                     lambda: killed.append(kill_agent_during_transfer(fleet, stopping))),
             "s")
-        figures["stop_cut_off"] = (stop_as_planned(fleet, stopping), "requests")
+        figures["stop_cut_off"] = (perform_planned_stop(fleet, stopping), "requests")
         load.terminate()
         load_output = load.communicate(timeout=90)[0]
 
@@ -171,12 +173,13 @@
     for name, (value, unit) in figures.items():
         print(f"figure {name} {value:.3f} {unit}")
     print(load_output, end="")
-    bad = [line for line in load_output.splitlines()
-           if re.match(r"figure (answers_(lost|doubled|mixed|foreign)|refused_not_run_but_ran) ", line)
-           and not line.split()[2] == "0"]
+    failures = [
+        line for line in load_output.splitlines()
+        if re.match(r"figure (answers_(lost|doubled|mixed|foreign)|refused_not_run_but_ran) ", line)
+        and not line.split()[2] == "0"]
     if figures["stop_cut_off"][0] or figures["engine_files_wrong"][0]:
-        bad.append("a planned stop cut requests off, or an engine's files differ")
-    return bad
+        failures.append("a planned stop cut requests off, or an engine's files differ")
+    return failures
 
 
 def full_digest(fleet, machine, version):
@@ -195,13 +198,13 @@
     parser.add_argument("--keep", help="keep settings, logs and the history in this folder")
     arguments = parser.parse_args()
     if arguments.keep:
-        bad = run(arguments, pathlib.Path(arguments.keep))
+        failures = run(arguments, pathlib.Path(arguments.keep))
     else:
         with tempfile.TemporaryDirectory(prefix="pumicemast-") as folder:
-            bad = run(arguments, pathlib.Path(folder))
-    for line in bad:
+            failures = run(arguments, pathlib.Path(folder))
+    for line in failures:
         print(f"broken promise: {line}", file=sys.stderr)
-    return 1 if bad else 0
+    return 1 if failures else 0
 
 
 if __name__ == "__main__":
--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -14,10 +14,10 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 WAIT_LIMIT_S = 60
-LOG_END_CHARACTERS = 2000
+LOG_TAIL_CHARACTERS = 2000
 
 
-def own_loopback_address():
+def process_loopback_address():
     """A loopback address that this process alone uses. On a shared one another fleet, or a
     connection that somebody opens, can take a free port before its process binds it."""
     process = os.getpid()
@@ -49,8 +49,8 @@
 
 def wait_until(condition, what, limit_s=WAIT_LIMIT_S):
     """Waits for condition() to be true; raises TimeoutError naming what was awaited."""
-    give_up = time.monotonic() + limit_s
-    while time.monotonic() < give_up:
+    deadline = time.monotonic() + limit_s
+    while time.monotonic() < deadline:
         try:
             if condition():
                 return
@@ -84,8 +84,8 @@
     def require_alive(self):
         """Raises RuntimeError with the end of its log when the process has ended by itself."""
         if not self.alive():
-            end = self.log.read_text(errors="replace")[-LOG_END_CHARACTERS:]
-            raise RuntimeError(f"{self.name} ended with {self.popen.returncode}: {end}")
+            tail = self.log.read_text(errors="replace")[-LOG_TAIL_CHARACTERS:]
+            raise RuntimeError(f"{self.name} ended with {self.popen.returncode}: {tail}")
 
     def stop(self):
         if self.alive():
@@ -123,7 +123,7 @@
         self.entry_options = entry or {}
         self.link_bytes_per_second = link_bytes_per_second
         machines = engines + services
-        self.host = own_loopback_address()
+        self.host = process_loopback_address()
         ports = iter(free_ports(self.host, 2 + 3 * entries + 3 * machines))
         self.object_api = self._address(ports)
         self.origin = self._address(ports)
@@ -144,7 +144,7 @@
         return f"{self.host}:{next(ports)}"
 
     @staticmethod
-    def place(zone):
+    def location(zone):
         """Region and zone names of a zone's number: one hall a region."""
         return {"region": f"region-{zone + 1}", "zone": f"zone-{zone + 1}"}
 
@@ -156,7 +156,8 @@
                              "origin": {"bytes_per_second": origin_rate}})
         for entry in self.entries:
             self._ini(entry["name"], {
-                "process": {"name": entry["name"], "charts": charts, **self.place(entry["zone"])},
+                "process": {"name": entry["name"], "charts": charts,
+                            **self.location(entry["zone"])},
                 "listen": {key: entry[key] for key in ("callers", "agents", "operators")},
                 "platform": {"url": f"http://{self.object_api}"},
                 "limits": {"entry_count": len(self.entries)},
@@ -173,7 +174,7 @@
             self._ini(f"{machine['name']}-backend", standin)
             self._ini(machine["name"], {
                 "process": {"machine": machine["name"], "charts": charts,
-                            **self.place(machine["zone"])},
+                            **self.location(machine["zone"])},
                 "listen": {"swarm": machine["swarm"], "http": machine["http"]},
                 "entries": {"addresses": ";".join(entry["agents"] for entry in self.entries)},
                 "backend": backend,
@@ -236,9 +237,9 @@
 
     def ctl(self, *words, entry=None, user="demo", check=True, options=()):
         """Runs pumicemastctl; returns the finished process."""
-        chosen = [entry] if entry else self.entries
+        entries = [entry] if entry else self.entries
         arguments = [str(self.bin / "pumicemastctl"), "--user", user, "--entry",
-                     ",".join(each["operators"] for each in chosen),
+                     ",".join(each["operators"] for each in entries),
                      "--origin", f"http://{self.origin}", *options, *words]
         result = subprocess.run(arguments, capture_output=True, text=True, timeout=600)
         if check and result.returncode != 0:
--- a/scripts/log_lines.py
+++ b/scripts/log_lines.py
@@ -8,14 +8,14 @@
 FIELD = re.compile(r"(\w+)=(\"[^\"]*\"|\S*)")
 
 
-def parse(stream, lines, foreign):
-    for raw in stream:
-        found = LINE.search(raw.rstrip("\n"))
-        if not found:
-            foreign.append(raw)
+def parse(stream, lines, unparsed):
+    for line in stream:
+        match = LINE.search(line.rstrip("\n"))
+        if not match:
+            unparsed.append(line)
             continue
-        fields = {name: value.strip('"') for name, value in FIELD.findall(found["text"])}
-        lines.append((found["process"], found["time"], found["text"], fields))
+        fields = {name: value.strip('"') for name, value in FIELD.findall(match["text"])}
+        lines.append((match["process"], match["time"], match["text"], fields))
 
 
 def read(tool, files):
@@ -23,16 +23,16 @@
 
     An unreadable file ends the tool with status 2; what is no log line is counted and passed over.
     """
-    lines, foreign = [], []
+    lines, unparsed = [], []
     if not files:
-        parse(sys.stdin, lines, foreign)
+        parse(sys.stdin, lines, unparsed)
     for name in files:
         try:
             with open(name, encoding="utf-8", errors="replace") as stream:
-                parse(stream, lines, foreign)
+                parse(stream, lines, unparsed)
         except OSError as error:
             print(f"{tool}: {name}: {error.strerror}", file=sys.stderr)
             sys.exit(2)
-    if foreign:
-        print(f"{tool}: {len(foreign)} lines are no log lines", file=sys.stderr)
+    if unparsed:
+        print(f"{tool}: {len(unparsed)} lines are no log lines", file=sys.stderr)
     return lines
