--- a/tests/scripts/explain_versions_test.py
+++ b/tests/scripts/explain_versions_test.py
@@ -23,8 +23,9 @@
 """
 
 
-def run(*words, text=LINES):
-    return subprocess.run([TOOL, *words], input=text, capture_output=True, text=True, check=False)
+def run(*arguments, text=LINES):
+    return subprocess.run([TOOL, *arguments], input=text, capture_output=True, text=True,
+                          check=False)
 
 
 class ExplainVersionsTest(unittest.TestCase):
--- a/tests/scripts/metrics_page_test.py
+++ b/tests/scripts/metrics_page_test.py
@@ -6,7 +6,7 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 NAME = re.compile(r'"(pumicemast_[a-z0-9_]+)"')
-TOLD = re.compile(r"`(pumicemast_[a-z0-9_]+)`((?:, `_[a-z0-9_]+`)*)")
+DOCUMENTED = re.compile(r"`(pumicemast_[a-z0-9_]+)`((?:, `_[a-z0-9_]+`)*)")
 
 
 def names_in_code():
@@ -20,28 +20,28 @@
     return names
 
 
-def names_told(code):
+def documented_names(code):
     """Full names, and those given by another ending alone, where the code has them."""
-    told = set()
-    for full, endings in TOLD.findall((ROOT / "docs/operators/metrics.md").read_text()):
-        told.add(full)
+    documented = set()
+    for full, endings in DOCUMENTED.findall((ROOT / "docs/operators/metrics.md").read_text()):
+        documented.add(full)
         for ending in re.findall(r"`(_[a-z0-9_]+)`", endings):
             parts = full.split("_")
             candidates = ["_".join(parts[:count]) + ending for count in range(2, len(parts) + 1)]
             known = [name for name in candidates if name in code]
-            told.add(known[-1] if known else candidates[-1])
-    return told
+            documented.add(known[-1] if known else candidates[-1])
+    return documented
 
 
 class MetricsPageTest(unittest.TestCase):
-    def test_each_metric_is_told(self):
+    def test_each_metric_is_documented(self):
         code = names_in_code()
         self.assertGreater(len(code), 50)
-        self.assertEqual([], sorted(code - names_told(code)))
+        self.assertEqual([], sorted(code - documented_names(code)))
 
-    def test_each_told_metric_exists(self):
+    def test_each_documented_metric_exists(self):
         code = names_in_code()
-        self.assertEqual([], sorted(names_told(code) - code))
+        self.assertEqual([], sorted(documented_names(code) - code))
 
 
 if __name__ == "__main__":
--- a/tests/scripts/trace_request_test.py
+++ b/tests/scripts/trace_request_test.py
@@ -21,8 +21,9 @@
 """
 
 
-def run(*words, text=LINES):
-    return subprocess.run([TOOL, *words], input=text, capture_output=True, text=True, check=False)
+def run(*arguments, text=LINES):
+    return subprocess.run([TOOL, *arguments], input=text, capture_output=True, text=True,
+                          check=False)
 
 
 class TraceRequestTest(unittest.TestCase):
@@ -33,7 +34,7 @@
         self.assertIn("tried b1", result.stdout)
         self.assertIn("state=DRAINING", result.stdout)
 
-    def test_foreign_and_cut_lines_are_counted_and_do_no_harm(self):
+    def test_unparsable_and_truncated_lines_are_counted_and_skipped(self):
         self.assertIn("2 lines are no log lines", run("r1").stderr)
         self.assertEqual(1, run("r1", text="\x00\xff garbage\n").returncode)
 
