--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -237,9 +237,9 @@
 
     def ctl(self, *words, entry=None, user="demo", check=True, options=()):
         """Runs pumicemastctl; returns the finished process."""
-        entries = [entry] if entry else self.entries
+        selected = [entry] if entry else self.entries
         arguments = [str(self.bin / "pumicemastctl"), "--user", user, "--entry",
-                     ",".join(each["operators"] for each in entries),
+                     ",".join(each["operators"] for each in selected),
                      "--origin", f"http://{self.origin}", *options, *words]
         result = subprocess.run(arguments, capture_output=True, text=True, timeout=600)
         if check and result.returncode != 0:
