--- a/scripts/bench.py
+++ b/scripts/bench.py
@@ -1,7 +1,9 @@
-"""Benches of real processes; they print lines `figure NAME VALUE UNIT`.
+"""Benchmarks of real processes; they print lines `figure NAME VALUE UNIT`.
 
-burst: one model to every agent, each under its own rate limit, against the fluid bound.
-scale: one real entry before more and more hollow agents; the slopes of docs/CAPACITY.md.
+burst: distributes one model to every agent over rate-limited links; compares the time with the
+       lower bound of a fluid model.
+scale: one real entry with a growing number of hollow agents, which hold no weights and run nothing;
+       gives the slopes in docs/CAPACITY.md.
 """
 
 import argparse
@@ -31,13 +33,16 @@
 
 
 def fluid_bound_s(machines, size, origin_rate, link_rate):
-    """Each machine receives the whole; what the origin does not send, machines do."""
+    """Lower bound on the time until every machine holds the model, in a fluid model.
+
+    Every machine receives the whole model; machines send each other what the origin does not send.
+    """
     return max(size / link_rate, size / origin_rate,
                machines * size / (origin_rate + machines * link_rate))
 
 
 class Sampler(threading.Thread):
-    """Follows the agents' live times and resident memory while a rollout runs."""
+    """Samples the agents' peak resident memory every 0.2 s while a rollout runs."""
 
     def __init__(self, fleet, agents):
         super().__init__(daemon=True)
@@ -134,14 +139,14 @@
 
 
 def measure_entry_usage(fleet, pid, seconds):
-    """Share of a core and resident bytes of the entry over some seconds of steady state."""
+    """Returns CPU use in cores over `seconds` of steady state, and resident bytes."""
     before = cpu_seconds(pid)
     time.sleep(seconds)
     return (cpu_seconds(pid) - before) / seconds, resident_bytes(pid)
 
 
 def measure_scale_step(arguments, folder, count):
-    """One real entry before `count` hollow agents."""
+    """Measures one real entry that `count` hollow agents are connected to."""
     with fleets.Fleet(folder / str(count), arguments.build, zones=1, entries=1, engines=0,
                       services=0) as fleet:
         pid = fleet.processes["e1"].popen.pid
@@ -194,17 +199,17 @@
     parser = argparse.ArgumentParser(prog="scripts/bench", description=__doc__)
     parser.add_argument("--build", default="build", help=argparse.SUPPRESS)
     commands = parser.add_subparsers(dest="command", required=True)
-    burst_parser = commands.add_parser("burst", help="one model to every agent")
+    burst_parser = commands.add_parser("burst", help="distribute one model to every agent")
     burst_parser.add_argument("--agents", type=int, default=24)
     burst_parser.add_argument("--model-mib", type=int, default=256)
     burst_parser.add_argument("--chunk-kib", type=int, default=1024)
     burst_parser.add_argument("--allowed-s", type=float, default=60,
-                              help="time in which a link carries two models, the origin's four")
+                              help="seconds for two model copies on a link, four from the origin")
     burst_parser.add_argument("--objective", choices=("time", "origin_bytes"), default="time")
     burst_parser.add_argument("--seed", type=int, default=1)
-    scale_parser = commands.add_parser("scale", help="one entry before hollow agents")
+    scale_parser = commands.add_parser("scale", help="one entry with hollow agents")
     scale_parser.add_argument("--agents", default="0,250,500,1000,2000",
-                              help="counts of hollow agents to measure")
+                              help="numbers of hollow agents to measure")
     scale_parser.add_argument("--agents-per-process", type=int, default=500)
     scale_parser.add_argument("--seconds", type=float, default=10)
     arguments = parser.parse_args()
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,5 +1,5 @@
-"""The demo: a model is published, rolled out, replaced under load; a machine is stopped as
-planned, another dies in mid-transfer. Ends with lines `figure NAME VALUE UNIT`."""
+"""Demo on real processes: publishes a model, rolls it out and replaces it under load, with one
+planned stop and one agent killed during a transfer. Prints lines `figure NAME VALUE UNIT`."""
 
 import argparse
 import hashlib
@@ -17,14 +17,14 @@
 WEIGHT_FILES = {"model-00001-of-00002.bin": 40 << 20, "model-00002-of-00002.bin": 20 << 20,
                 "tokenizer/vocabulary.bin": 3 << 20, "config.json": 700}
 CHUNK_BYTES = 1 << 20
-#: The links carry the model twice in this time, the origin four times.
+#: In this time, in seconds, an agent's link carries the model twice, the origin's four times.
 LINK_TIME_S = 12
 REPLICAS = 8
 MINIMUM_LIVE_REPLICAS = 5
 
 
 def make_weights(folder, seed):
-    """A directory of seeded weight files."""
+    """Fills a directory with pseudo-random weight files from a seed."""
     generator = random.Random(seed)
     for name, size in WEIGHT_FILES.items():
         path = folder / name
@@ -34,7 +34,7 @@
 
 
 def make_next_version(first, folder):
-    """The same files with one more, by links: most chunks are shared, as between versions."""
+    """Links the files of the first version and adds one: versions share most of their chunks."""
     for path in sorted(first.rglob("*")):
         target = folder / path.relative_to(first)
         if path.is_dir():
@@ -52,7 +52,7 @@
 
 
 def verify_engine_files(fleet, rows, digest, folder):
-    """Reads every file back from every engine; returns how many differ."""
+    """Reads every file back from every engine; returns the number of files that differ."""
     mismatches = 0
     for row in rows:
         backend = fleet.machine(row["machine"])["backend"]
@@ -69,7 +69,7 @@
 
 
 def metric(fleet, machine, name):
-    """Sum of one metric of an agent over its labels."""
+    """Returns the sum of one metric of an agent over all its labels."""
     text = fleets.http_call(fleet.machine(machine)["http"], "GET", "/metrics")[2].decode()
     return sum(float(value) for value in
                re.findall(rf"^{re.escape(name)}(?:{{[^}}]*}})? (\S+)$", text, re.MULTILINE))
@@ -89,7 +89,7 @@
 
 
 def roll_out(fleet, version, during_rollout=None):
-    """Creates a rollout and waits for its end; returns the seconds until all were live."""
+    """Creates a rollout and waits for its end; returns the seconds until all replicas were live."""
     started = time.monotonic()
     fleet.ctl("create", "rollout", "forms", version, "max_unavailable=3")
     if during_rollout:
@@ -105,7 +105,7 @@
             if 0 < verified < count and row["machine"] != stopping:
                 return row["machine"]
         return None
-    fleets.wait_until(find_fetching_agent, "an agent in mid-transfer")
+    fleets.wait_until(find_fetching_agent, "an agent with a transfer in progress")
     victim = find_fetching_agent()
     if victim:
         fleet.kill(victim)
@@ -113,7 +113,10 @@
 
 
 def perform_planned_stop(fleet, machine):
-    """Plans a stop under load and waits until it is drained; returns what it cut off."""
+    """Plans a stop under load and waits until the machine is drained.
+
+    Returns the number of requests that the stop cancelled or left unfinished.
+    """
     fleet.ctl("plan", "stop", machine)
     fleets.wait_until(lambda: fleet.rows(f"show stops where machine={machine}")[0]["state"]
                       == "DRAINED", f"the stop of {machine}")
@@ -166,7 +169,7 @@
         load.terminate()
         load_output = load.communicate(timeout=90)[0]
 
-        print(f"\nkilled in mid-transfer: {killed[0]}; stopped as planned: {stopping}\n")
+        print(f"\nkilled during its transfer: {killed[0]}; planned stop: {stopping}\n")
         print(fleet.ctl("show", "rollouts").stdout)
         print(fleet.ctl("show", "replicas").stdout)
         print(fleet.ctl("show", "machines").stdout)
@@ -178,12 +181,12 @@
         if re.match(r"figure (answers_(lost|doubled|mixed|foreign)|refused_not_run_but_ran) ", line)
         and not line.split()[2] == "0"]
     if figures["stop_cut_off"][0] or figures["engine_files_wrong"][0]:
-        failures.append("a planned stop cut requests off, or an engine's files differ")
+        failures.append("a planned stop interrupted requests, or an engine's files differ")
     return failures
 
 
 def full_digest(fleet, machine, version):
-    """The digest under which an engine holds a version."""
+    """Returns the full digest of a version that an engine serves."""
     import json
     state = json.loads(fleets.http_call(fleet.machine(machine)["backend"], "GET",
                                         "/admin/state")[2])
@@ -194,7 +197,7 @@
 def main():
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--build", default="build")
-    parser.add_argument("--weights", help="publish this directory instead of a seeded one")
+    parser.add_argument("--weights", help="publish this directory instead of generated files")
     parser.add_argument("--keep", help="keep settings, logs and the history in this folder")
     arguments = parser.parse_args()
     if arguments.keep:
@@ -203,7 +206,7 @@
         with tempfile.TemporaryDirectory(prefix="pumicemast-") as folder:
             failures = run(arguments, pathlib.Path(folder))
     for line in failures:
-        print(f"broken promise: {line}", file=sys.stderr)
+        print(f"check failed: {line}", file=sys.stderr)
     return 1 if failures else 0
 
 
--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -1,7 +1,7 @@
-"""Starts a whole fleet of real processes on loopback: stand-ins, entries and agents.
+"""Starts a complete fleet of real processes on loopback: stand-ins, entries and agents.
 
-Used by scripts/demo, scripts/bench and the real-process tests. Every wait is for a
-condition, never for a time, and every process that was started is ended by its id.
+Used by scripts/demo, scripts/bench and the tests with real processes. Waits are for conditions,
+never for a fixed time, and every started process is stopped by its process id.
 """
 
 import http.client
@@ -18,14 +18,17 @@
 
 
 def process_loopback_address():
-    """A loopback address that this process alone uses. On a shared one another fleet, or a
-    connection that somebody opens, can take a free port before its process binds it."""
+    """Returns a loopback address derived from the process id, so that only this process uses it.
+
+    On a shared address another fleet or an outgoing connection can take a port that was found free
+    before the process that it is meant for binds it.
+    """
     process = os.getpid()
     return f"127.{64 + (process >> 16) % 64}.{process >> 8 & 255}.{process & 255}"
 
 
 def free_ports(host, count):
-    """Distinct free ports of the address."""
+    """Returns distinct free ports of the address."""
     sockets = [socket.socket() for _ in range(count)]
     for each in sockets:
         each.bind((host, 0))
@@ -36,7 +39,7 @@
 
 
 def http_call(address, method, path, body=None, headers=None, timeout=30):
-    """One HTTP call; returns (status, headers, body) or raises OSError."""
+    """Sends one HTTP request; returns (status, headers, body) or raises OSError."""
     host, port = address.split(":")
     connection = http.client.HTTPConnection(host, int(port), timeout=timeout)
     try:
@@ -48,7 +51,7 @@
 
 
 def wait_until(condition, what, limit_s=WAIT_LIMIT_S):
-    """Waits for condition() to be true; raises TimeoutError naming what was awaited."""
+    """Waits until condition() is true; raises TimeoutError with `what` in its text."""
     deadline = time.monotonic() + limit_s
     while time.monotonic() < deadline:
         try:
@@ -70,7 +73,7 @@
 
 
 class Process:
-    """One started process and its log."""
+    """A child process and its log file."""
 
     def __init__(self, name, arguments, folder):
         self.name = name
@@ -82,7 +85,7 @@
         return self.popen.poll() is None
 
     def require_alive(self):
-        """Raises RuntimeError with the end of its log when the process has ended by itself."""
+        """Raises RuntimeError with the end of the log if the process has exited."""
         if not self.alive():
             tail = self.log.read_text(errors="replace")[-LOG_TAIL_CHARACTERS:]
             raise RuntimeError(f"{self.name} ended with {self.popen.returncode}: {tail}")
@@ -108,7 +111,7 @@
 
 
 class Fleet:
-    """Stand-ins, entries and agents with their addresses. Use as a context manager."""
+    """Stand-ins, entries and agents with their addresses; a context manager."""
 
     def __init__(self, folder, build, zones=3, entries=6, engines=10, services=2,
                  origin_bytes_per_second=10**9, link_bytes_per_second=0, engine=None, agent=None,
@@ -145,7 +148,7 @@
 
     @staticmethod
     def location(zone):
-        """Region and zone names of a zone's number: one hall a region."""
+        """Returns the region and zone names for a zone number: one zone per region."""
         return {"region": f"region-{zone + 1}", "zone": f"zone-{zone + 1}"}
 
     def _write_settings(self, origin_rate, object_api):
@@ -210,7 +213,7 @@
         return http_call(entry["operators"], "GET", "/readyz")[0] == 200
 
     def stop(self):
-        # Entries and agents first: they drain while their back ends still answer.
+        # Entries and agents stop first: they drain while their back ends still respond.
         names = [entry["name"] for entry in self.entries]
         names += [machine["name"] for machine in self.machines]
         for name in names:
@@ -248,7 +251,7 @@
         return result
 
     def rows(self, query, entry=None):
-        """Rows of a query as dictionaries."""
+        """Returns the rows of a query as dictionaries."""
         answer = self.ctl(*query.split(), entry=entry, options=("--json",))
         return json.loads(answer.stdout)["rows"]
 
@@ -256,7 +259,7 @@
         return next(machine for machine in self.machines if machine["name"] == name)
 
     def control(self, address, query):
-        """Tells a stand-in to misbehave."""
+        """Configures fault injection of a stand-in."""
         status, _, _ = http_call(address, "POST", f"/control?{query}")
         assert status == 200, query
 
@@ -264,5 +267,5 @@
         return json.loads(http_call(address, "GET", "/stats")[2])
 
     def kill(self, name):
-        """Ends a process at once, as when its machine dies."""
+        """Kills a process without a graceful stop, like the failure of its machine."""
         self.processes[name].kill()
--- a/scripts/log_lines.py
+++ b/scripts/log_lines.py
@@ -1,4 +1,4 @@
-"""Reads the log lines of gateways and agents, for the tools beside this file."""
+"""Parses log lines of gateways and agents for explain-versions and trace-request."""
 
 import re
 import sys
@@ -19,9 +19,9 @@
 
 
 def read(tool, files):
-    """Lines as (process, time, text, fields), of `files` or of standard input without any.
+    """Returns log lines as (process, time, text, fields), from `files` or from standard input.
 
-    An unreadable file ends the tool with status 2; what is no log line is counted and passed over.
+    An unreadable file ends the tool with status 2. Lines in another format are counted and skipped.
     """
     lines, unparsed = [], []
     if not files:
