--- a/tests/scripts/explain_versions_test.py
+++ b/tests/scripts/explain_versions_test.py
@@ -1,4 +1,4 @@
-"""The tool that tells from log lines when versions of the weights reached the engines."""
+"""Tests of scripts/explain-versions, which shows when weight versions reached the engines."""
 
 import pathlib
 import subprocess
--- a/tests/scripts/metrics_page_test.py
+++ b/tests/scripts/metrics_page_test.py
@@ -1,4 +1,4 @@
-"""Holds docs/operators/metrics.md and the code together: each counter is told, and each told exists."""
+"""Checks that docs/operators/metrics.md documents exactly the metrics that the code exports."""
 
 import re
 import unittest
@@ -21,7 +21,7 @@
 
 
 def documented_names(code):
-    """Full names, and those given by another ending alone, where the code has them."""
+    """Full names, and abbreviated ones expanded from the name before to match the code."""
     documented = set()
     for full, endings in DOCUMENTED.findall((ROOT / "docs/operators/metrics.md").read_text()):
         documented.add(full)
--- a/tests/scripts/trace_request_test.py
+++ b/tests/scripts/trace_request_test.py
@@ -1,4 +1,4 @@
-"""The tool that explains a request from log lines: good lines, cut lines, foreign lines."""
+"""Tests of scripts/trace-request with complete, truncated and unparsable log lines."""
 
 import pathlib
 import subprocess
