--- a/tests/soak/fault_soak.py
+++ b/tests/soak/fault_soak.py
@@ -20,15 +20,15 @@
 ARGUMENTS, sys.argv = sys.argv[1:], sys.argv[:1]
 
 import platform_test  # noqa: E402
-from soak_checks import QUIET_S, Checks  # noqa: E402
+from soak_checks import UNDISTURBED_S, Checks  # noqa: E402
 from soak_faults import PLANNED, Faults  # noqa: E402
 from soak_fleet import GATEWAYS, SoakPlatform  # noqa: E402
 from soak_limits import Limits  # noqa: E402
 from soak_load import Load  # noqa: E402
 
-PLANNED_S = 10.0  # Planned work with nothing disturbed, after the faults: there all bounds hold.
-BEAT_S = 0.05
-RECOVERY_S = 5.0  # Every gateway serves again so long after the last work.
+PLANNED_WORK_S = 10.0  # Planned work with nothing disturbed, after the faults: there all bounds hold.
+HEARTBEAT_INTERVAL_S = 0.05
+RECOVERY_TIMEOUT_S = 5.0  # Every gateway serves again so long after the last work.
 REGRESSIONS = Path(__file__).with_name("regression_seeds.txt")
 
 
@@ -42,8 +42,8 @@
     limits: bool = False  # Back ends name rate limits beside them.
 
     def __str__(self):
-        drawn_from = " of " + ",".join(self.faults) if self.faults else ""
-        return f"seed {self.seed}{drawn_from}" + (" with limits" if self.limits else "")
+        fault_list = " of " + ",".join(self.faults) if self.faults else ""
+        return f"seed {self.seed}{fault_list}" + (" with limits" if self.limits else "")
 
 
 class Soak:
@@ -60,53 +60,53 @@
         self.load = Load(self.platform, self.checks, load)
         self.faults.load = self.load
         self.limits = Limits(self.platform, self.checks, random.Random(f"limits {seed}"))
-        self.names_limits = False
-        self.suspends = random.Random(f"clock {seed}").random() < 0.5
+        self.limits_enabled = False
+        self.simulates_suspend = random.Random(f"clock {seed}").random() < 0.5
 
     async def run(self):
-        if self.suspends:
+        if self.simulates_suspend:
             self.platform.suspend_when_frozen()
         await self.platform.start()
-        self.checks.began = time.monotonic()
-        self.end = self.checks.began + self.seconds
+        self.checks.started_at = time.monotonic()
+        self.end = self.checks.started_at + self.seconds
         self.load.end = float("inf")
-        beats = asyncio.create_task(self.beat())
+        heartbeats = asyncio.create_task(self.send_heartbeats())
         callers = self.load.start()
-        limits = asyncio.create_task(self.limits.run()) if self.names_limits else None
-        await self.play_faults()
-        await self.settle()
-        await self.planned_work()
-        await asyncio.gather(*callers, *self.faults.killers)
+        limits = asyncio.create_task(self.limits.run()) if self.limits_enabled else None
+        await self.inject_faults()
+        await self.wait_until_undisturbed()
+        await self.run_planned_work()
+        await asyncio.gather(*callers, *self.faults.killer_tasks)
         if limits:
             limits.cancel()
-            self.limits.lift_all()
+            self.limits.remove_all_limits()
         await self.check_recovered()
-        beats.cancel()
+        heartbeats.cancel()
         await self.platform.stop()
 
-    async def beat(self):
+    async def send_heartbeats(self):
         while True:
-            self.checks.beat()
-            await asyncio.sleep(BEAT_S)
+            self.checks.record_heartbeat()
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
-    async def play_faults(self):
+    async def inject_faults(self):
         while time.monotonic() < self.end - 1:
-            task = self.faults.play_any()
+            task = self.faults.inject_random()
             if self.random.random() < 0.5:
                 await task  # Otherwise the next one overlaps.
             await asyncio.sleep(self.random.uniform(0.1, 1.0))
 
-    async def settle(self):
+    async def wait_until_undisturbed(self):
         """Waits until every fault is over and nothing was disturbed for a while."""
         await asyncio.gather(*self.faults.tasks)
-        while not self.checks.all_quiet():
+        while not self.checks.all_undisturbed():
             await asyncio.sleep(0.1)
 
-    async def planned_work(self):
+    async def run_planned_work(self):
         """Nothing is disturbed here: every bound is checked."""
-        self.load.end = time.monotonic() + PLANNED_S
+        self.load.end = time.monotonic() + PLANNED_WORK_S
         for name in self.random.sample(PLANNED, len(PLANNED)):
-            self.faults.play(name, 0.5)
+            self.faults.inject(name, 0.5)
             await asyncio.sleep(self.random.uniform(0.2, 1.5))
         await asyncio.sleep(max(0, self.load.end - time.monotonic()))
         await asyncio.gather(*self.faults.tasks)
@@ -116,32 +116,33 @@
         for host in GATEWAYS:
             try:
                 await self.platform.wait(lambda host=host: self.platform.serves(host),
-                                         limit=RECOVERY_S)
+                                         limit=RECOVERY_TIMEOUT_S)
                 await self.check_newest_route(host)
             except (AssertionError, OSError, IndexError) as error:
-                self.checks.violate("RECOVER", f"{host}: {error!r}")
+                self.checks.report_violation("RECOVER", f"{host}: {error!r}")
         for name, process in [*self.platform.gateways.items(), *self.platform.hosts.items()]:
             if process.poll() is not None:
-                self.checks.violate("FAULT", f"{name} ended by itself with {process.poll()}")
+                self.checks.report_violation("FAULT",
+                                             f"{name} ended by itself with {process.poll()}")
 
     async def check_newest_route(self, host):
         version = self.platform.version
-        answered = await self.platform.call_gateway(host, "GET", f"/v{version}/1", f"last-{host}")
-        if answered.status == 404 and version > 1:
-            self.checks.violate("CONFIG", f"{host} lacks version {version} at the end")
+        response = await self.platform.call_gateway(host, "GET", f"/v{version}/1", f"last-{host}")
+        if response.status == 404 and version > 1:
+            self.checks.report_violation("CONFIG", f"{host} lacks version {version} at the end")
 
 
-def play(plan, keep):
+def run_plan(plan, keep):
     folder = tempfile.mkdtemp(prefix="pumicemast-soak-")
     soak = Soak(plan.seed, plan.seconds, folder)
-    soak.faults.chosen = plan.faults or soak.faults.chosen
-    soak.names_limits = plan.limits
+    soak.faults.enabled = plan.faults or soak.faults.enabled
+    soak.limits_enabled = plan.limits
     asyncio.run(soak.run())
     checks = soak.checks
-    clock = " (a frozen process is a suspended machine)" if soak.suspends else ""
-    print(f"{plan}{clock}: {len(checks.violations)} violations; " + listed(checks.outcomes)
-          + "\n  played: " + listed(soak.faults.played)
-          + (f", limits named {soak.limits.named}" if plan.limits else ""), flush=True)
+    clock = " (a frozen process is a suspended machine)" if soak.simulates_suspend else ""
+    print(f"{plan}{clock}: {len(checks.violations)} violations; " + format_counts(checks.outcomes)
+          + "\n  played: " + format_counts(soak.faults.injected)
+          + (f", limits named {soak.limits.limits_set}" if plan.limits else ""), flush=True)
     for violation in checks.violations:
         print("  " + violation, flush=True)
     if checks.violations and keep:
@@ -150,17 +151,17 @@
     return not checks.violations
 
 
-def listed(counts):
+def format_counts(counts):
     return ", ".join(f"{key} {count}" for key, count in sorted(counts.items()))
 
 
 def keep_logs(soak, folder, target):
     shutil.copytree(folder, target, dirs_exist_ok=True)
-    began = soak.checks.began
+    started_at = soak.checks.started_at
     timelines = {f"engine-{engine.name}": engine.timeline for engine in soak.platform.engines}
     timelines["faults"] = soak.faults.timeline
     for name, timeline in timelines.items():
-        lines = [f"{at - began:8.3f} s {text}\n" for at, text in timeline]
+        lines = [f"{at - started_at:8.3f} s {text}\n" for at, text in timeline]
         (target / f"{name}.timeline").write_text("".join(lines))
     (target / "violations.txt").write_text("\n".join(soak.checks.violations) + "\n")
 
@@ -202,7 +203,7 @@
              for seed in read_seeds(arguments.seeds)]
     if arguments.regressions:
         plans += regressions()
-    failed = [plan for plan in plans if not play(plan, arguments.keep)]
+    failed = [plan for plan in plans if not run_plan(plan, arguments.keep)]
     print(f"{len(plans) - len(failed)} passed, {len(failed)} failed")
     return 1 if failed else 0
 
--- a/tests/soak/loopback_proxy.py
+++ b/tests/soak/loopback_proxy.py
@@ -6,7 +6,7 @@
 
 import asyncio
 
-CHUNK = 65536
+READ_BYTES = 65536
 
 
 class LoopbackProxy:
@@ -16,10 +16,10 @@
         self.host, self.target = host, (target_host, target_port)
         self.delay = 0.0  # Seconds that each piece takes, either way.
         self.refusing = False  # New connections are closed at once.
-        self.open_ways = {"up": asyncio.Event(), "down": asyncio.Event()}
+        self.direction_gates = {"up": asyncio.Event(), "down": asyncio.Event()}
         self.writers = set()
-        self.passing = set()  # An event for each open connection; cleared when it goes silent.
-        self.heal()
+        self.connection_gates = set()  # An event for each open connection; cleared when it goes silent.
+        self.restore()
 
     async def start(self):
         self.server = await asyncio.start_server(self.serve, self.host, 0)
@@ -29,15 +29,15 @@
         self.server.close()
         self.reset()
 
-    def heal(self):
+    def restore(self):
         self.delay, self.refusing = 0.0, False
-        for way in self.open_ways.values():
-            way.set()
+        for direction in self.direction_gates.values():
+            direction.set()
 
-    def hold(self, *ways):
+    def hold(self, *directions):
         """Holds up what goes "up" (to the target), "down", or both."""
-        for way in ways:
-            self.open_ways[way].clear()
+        for direction in directions:
+            self.direction_gates[direction].clear()
 
     def reset(self):
         for writer in list(self.writers):
@@ -45,9 +45,9 @@
 
     def silence(self):
         """What is open now never says anything again, nor breaks; new connections work."""
-        for passes in self.passing:
-            passes.clear()
-        return len(self.passing)
+        for gate in self.connection_gates:
+            gate.clear()
+        return len(self.connection_gates)
 
     async def serve(self, reader, writer):
         if self.refusing:
@@ -59,32 +59,32 @@
             writer.transport.abort()
             return
         both = {writer, target_writer}
-        passes = asyncio.Event()
-        passes.set()
+        gate = asyncio.Event()
+        gate.set()
         self.writers |= both
-        self.passing.add(passes)
+        self.connection_gates.add(gate)
         try:
-            await asyncio.gather(self.pump("up", reader, target_writer, passes),
-                                 self.pump("down", target_reader, writer, passes))
+            await asyncio.gather(self.pump("up", reader, target_writer, gate),
+                                 self.pump("down", target_reader, writer, gate))
         except (ConnectionError, asyncio.CancelledError, OSError):
             pass  # One side broke off: so does the other.
         finally:
             self.writers -= both
-            self.passing.discard(passes)
+            self.connection_gates.discard(gate)
             for end in both:
                 end.transport.abort()
 
-    async def pump(self, way, reader, writer, passes):
-        while data := await reader.read(CHUNK):
+    async def pump(self, direction, reader, writer, gate):
+        while data := await reader.read(READ_BYTES):
             if self.delay:
                 await asyncio.sleep(self.delay)
-            await self.open_ways[way].wait()
-            await passes.wait()
+            await self.direction_gates[direction].wait()
+            await gate.wait()
             writer.write(data)
             await writer.drain()
-        await self.open_ways[way].wait()
-        await passes.wait()
+        await self.direction_gates[direction].wait()
+        await gate.wait()
         if writer.can_write_eof():
             writer.write_eof()
-        if way == "down":
+        if direction == "down":
             raise ConnectionError
--- a/tests/soak/silent_sockets.py
+++ b/tests/soak/silent_sockets.py
@@ -18,7 +18,7 @@
     """Established TCP connections of a process that use `port` at one end, by (local, remote)."""
     library = ctypes.CDLL(None, use_errno=True)
     result = {}
-    handle = os.pidfd_open(process.pid)
+    pidfd = os.pidfd_open(process.pid)
     try:
         for name in os.listdir(f"/proc/{process.pid}/fd"):
             try:
@@ -26,39 +26,40 @@
                     continue
             except OSError:
                 continue  # Closed meanwhile.
-            descriptor = library.syscall(PIDFD_GETFD, handle, int(name), 0)
+            descriptor = library.syscall(PIDFD_GETFD, pidfd, int(name), 0)
             if descriptor < 0:
                 if ctypes.get_errno() == 1:
                     raise PermissionError("sockets of a process cannot be had here")
                 continue
-            ours = socket.socket(fileno=descriptor)
+            duplicate = socket.socket(fileno=descriptor)
             try:
-                ends = (ours.getsockname(), ours.getpeername())
+                addresses = (duplicate.getsockname(), duplicate.getpeername())
             except OSError:
-                ends = None  # Listening, or not connected.
-            if ends and ours.family == socket.AF_INET and port in (ends[0][1], ends[1][1]):
-                result[ends] = ours
+                addresses = None  # Listening, or not connected.
+            if addresses and duplicate.family == socket.AF_INET \
+                    and port in (addresses[0][1], addresses[1][1]):
+                result[addresses] = duplicate
             else:
-                ours.close()
+                duplicate.close()
     finally:
-        os.close(handle)
+        os.close(pidfd)
     return result
 
 
 def silence(process, others, port):
     """All connections of `process` by `port` go silent, here and at `others`; returns how many."""
-    own = connections(process, port)
-    ends = set(own) | {(remote, local) for local, remote in own}
-    sockets = list(own.values())
+    own_sockets = connections(process, port)
+    address_pairs = set(own_sockets) | {(remote, local) for local, remote in own_sockets}
+    sockets = list(own_sockets.values())
     for other in others:
-        for pair, ours in connections(other, port).items():
-            if pair in ends:
-                sockets.append(ours)
+        for pair, duplicate in connections(other, port).items():
+            if pair in address_pairs:
+                sockets.append(duplicate)
             else:
-                ours.close()
+                duplicate.close()
     code = ctypes.create_string_buffer(DROP_ALL)
     program = struct.pack("HL", 1, ctypes.addressof(code))
-    for ours in sockets:
-        ours.setsockopt(socket.SOL_SOCKET, ATTACH_FILTER, program)
-        ours.close()
-    return len(own)
+    for duplicate in sockets:
+        duplicate.setsockopt(socket.SOL_SOCKET, ATTACH_FILTER, program)
+        duplicate.close()
+    return len(own_sockets)
--- a/tests/soak/soak_engine.py
+++ b/tests/soak/soak_engine.py
@@ -10,10 +10,10 @@
 from platform_standin import Runner, answer, piece
 
 CHANGEOVER_S = 0.1  # As `warmS` in the stand-in's configuration.
-LATEST_ORDER_S = 12.0  # Orders without an answer were seen to be carried out 2.7 to 12 s later.
-SLOWEST_ANSWER_S = 2.0  # Longer than an agent waits for an answer to an order (0.5 s).
+MAX_ORDER_DELAY_S = 12.0  # Orders without an answer were seen to be carried out 2.7 to 12 s later.
+MAX_ORDER_RESPONSE_S = 2.0  # Longer than an agent waits for an answer to an order (0.5 s).
 KILLER_TARGET = "/chat/killer-"  # What begins so ends the engine that begins it.
-TIMELINE_EVENTS = 400  # Ten versions' chunks and orders.
+MAX_TIMELINE_EVENTS = 400  # Ten versions' chunks and orders.
 
 
 class SoakRunner(Runner):
@@ -27,7 +27,7 @@
         self.down = False
         self.limit = None  # Requests a second that it takes of all gateways together.
 
-    async def start_anew(self):
+    async def restart(self):
         """Another incarnation at the same address."""
         self.identity += "x"
 
@@ -40,11 +40,11 @@
         fields = super().head(headers, extra)
         if self.limit is not None:
             fields["Server-Limit"] = self.limit
-            self.checks.on_limit_told(self)
+            self.checks.on_limit_sent(self)
         return fields
 
     def on_begun(self, headers):
-        self.checks.on_run(self, headers.get("x-pumicemast-request-id", ""))
+        self.checks.on_request_started(self, headers.get("x-pumicemast-request-id", ""))
 
     def plain_body(self, headers):
         return headers.get("x-pumicemast-request-id", "").encode()
@@ -61,44 +61,44 @@
         super().__init__(checks, "engines", *arguments)
         self.random = random
         self.name = self.identity
-        self.life = 1
+        self.incarnation = 1
         self.running = 0
         self.busy = False
         self.wrong_chunks = {}  # Of the weights that it serves: chunk and what is wrong with it.
-        self.turned_bad = {}  # Chunk that turned bad where it lies, and when.
-        self.order_trouble = None
-        self.late_orders = 0  # Sent so far, whether taken meanwhile or not.
+        self.corrupted_at = {}  # Chunk that turned bad where it lies, and when.
+        self.order_fault = None
+        self.delayed_orders = 0  # Sent so far, whether taken meanwhile or not.
         self.report_delay = 0.0
         self.timeline = []
         self.platform = None  # Lists it anew after it ended under a request; set by the platform.
-        self.revivals = []
+        self.restart_tasks = []
         self.never = asyncio.Event()  # Kept here: what waits for an event alone is collected with it.
-        self.work = set()  # Orders on their way, and a changeover.
+        self.tasks = set()  # Orders on their way, and a changeover.
 
-    def note(self, text):
+    def record_event(self, text):
         self.timeline.append((time.monotonic(), text))
-        del self.timeline[:-TIMELINE_EVENTS]
+        del self.timeline[:-MAX_TIMELINE_EVENTS]
 
     def spawn(self, coroutine):
         task = asyncio.create_task(coroutine)
-        self.work.add(task)
-        task.add_done_callback(self.work.discard)
+        self.tasks.add(task)
+        task.add_done_callback(self.tasks.discard)
 
     # ---- staging ----
 
     def stage(self, number, data):
         super().stage(number, data)
-        self.turned_bad.pop(number, None)
+        self.corrupted_at.pop(number, None)
         versions = [version for version in sorted(self.checks.named_at)
                     if data == piece(version, number)]
-        self.note(f"chunk {number} written, of version {versions or 'none'}")
+        self.record_event(f"chunk {number} written, of version {versions or 'none'}")
 
-    def spoil(self, number):
+    def corrupt(self, number):
         """A chunk turns bad where it lies."""
         if number in self.staged:
             self.staged[number] = b"x" + self.staged[number][:-1]
-            self.turned_bad[number] = time.monotonic()
-            self.note(f"chunk {number} turned bad")
+            self.corrupted_at[number] = time.monotonic()
+            self.record_event(f"chunk {number} turned bad")
 
     # ---- orders ----
 
@@ -110,44 +110,44 @@
         self.seq += 1
         self.orders.append(order)
         self.busy = True
-        wrong = self.checks.wrong_chunks(order["version"], self.staged, self.turned_bad)
+        wrong = self.checks.wrong_chunks(order["version"], self.staged, self.corrupted_at)
         if wrong:  # A violation only when it serves a request.
-            self.checks.count("engine", "took a mixture")
-        self.spawn(self.change_over(order["version"], wrong))
+            self.checks.count_outcome("engine", "took a mixture")
+        self.spawn(self.activate(order["version"], wrong))
         return 202
 
-    def take_and_note(self, order, how):
+    def take_and_record(self, order, how):
         status = self.take(order)
-        self.note(f"order to start version {order['version']}, expectedRev "
+        self.record_event(f"order to start version {order['version']}, expectedRev "
                   f"{order.get('expectedRev')}, {how}: {status}, seq {self.seq}")
         return status
 
-    async def change_over(self, version, wrong):
+    async def activate(self, version, wrong):
         while self.running:
             await asyncio.sleep(0.01)
         await asyncio.sleep(CHANGEOVER_S)
         self.version, self.wrong_chunks, self.busy = version, wrong, False
-        self.note(f"serves version {version}, wrong chunks {wrong}")
+        self.record_event(f"serves version {version}, wrong chunks {wrong}")
 
-    async def take_later(self, order, delay):
+    async def execute_later(self, order, delay):
         await asyncio.sleep(delay)
-        self.take_and_note(order, f"{delay:.2f} s late, not answered")
+        self.take_and_record(order, f"{delay:.2f} s late, not answered")
 
     async def answer_order(self, writer, order):
-        trouble = self.order_trouble
-        if trouble is None:
-            answer(writer, self.take_and_note(order, "answered"))
+        fault = self.order_fault
+        if fault is None:
+            answer(writer, self.take_and_record(order, "answered"))
             return
-        if trouble == "answered late":
-            status = self.take_and_note(order, "answered late")
-            await asyncio.sleep(self.random.uniform(0, SLOWEST_ANSWER_S))
+        if fault == "answered late":
+            status = self.take_and_record(order, "answered late")
+            await asyncio.sleep(self.random.uniform(0, MAX_ORDER_RESPONSE_S))
             answer(writer, status)
             return
-        if trouble == "lost":
-            self.note(f"order to start version {order['version']} lost")
+        if fault == "lost":
+            self.record_event(f"order to start version {order['version']} lost")
         else:
-            self.late_orders += 1
-            self.spawn(self.take_later(order, self.random.uniform(0, LATEST_ORDER_S)))
+            self.delayed_orders += 1
+            self.spawn(self.execute_later(order, self.random.uniform(0, MAX_ORDER_DELAY_S)))
         await self.never.wait()  # This connection says nothing further.
 
     async def answer_report(self, writer):
@@ -164,8 +164,8 @@
         if target.startswith(KILLER_TARGET):
             await self.run_killer(writer, target, headers)
             return
-        wanted = int(headers.get("x-pumicemast-expect-version", 0))
-        if self.version == 0 or wanted not in (0, self.version):
+        expected_version = int(headers.get("x-pumicemast-expect-version", 0))
+        if self.version == 0 or expected_version not in (0, self.version):
             self.refuse(writer, headers, 421)
         elif self.busy:
             self.refuse(writer, headers, 503)
@@ -177,35 +177,35 @@
         answer(writer, status, b"", self.head(headers, {"X-Pumicemast-Not-Executed": 1}.items()))
 
     async def run_counted(self, writer, method, target, headers):
-        life = self.life
+        incarnation = self.incarnation
         self.running += 1
         try:
             await super().run(writer, method, target, headers)
         finally:
-            if life == self.life:
+            if incarnation == self.incarnation:
                 self.running -= 1
 
     # ---- lives ----
 
-    async def start_anew(self):
+    async def restart(self):
         await self.crash()
-        await self.come_back()
+        await self.recover()
 
     async def run_killer(self, writer, target, headers):
         """The request ends the engine that begins it; it is back a while later."""
         if self.down or self.draining_since or self.busy or not self.version:
             self.refuse(writer, headers, 503)
             return
-        self.checks.on_engine_ended_by(target)
+        self.checks.on_engine_crash(target)
         self.down = True
         old = self.identity
         await self.crash()
-        self.revivals.append(asyncio.create_task(self.come_back_listed(old)))
+        self.restart_tasks.append(asyncio.create_task(self.recover_and_register(old)))
         raise ConnectionError
 
-    async def come_back_listed(self, old):
+    async def recover_and_register(self, old):
         await asyncio.sleep(self.random.uniform(0.3, 1.5))
-        await self.come_back()
+        await self.recover()
         self.platform.register(self, self.service)
         self.platform.unregister(old)
         self.checks.disturb_engines(0)
@@ -213,16 +213,16 @@
 
     async def crash(self):
         """Ends it with all that was under way; what was staged stays."""
-        self.note("crashed")
-        self.life += 1
-        for task in list(self.work):
+        self.record_event("crashed")
+        self.incarnation += 1
+        for task in list(self.tasks):
             task.cancel()
         await self.stop()
 
-    async def come_back(self):
+    async def recover(self):
         """Another incarnation: no layers, no orders taken."""
-        self.identity = f"{self.name}-{self.life}"
+        self.identity = f"{self.name}-{self.incarnation}"
         self.version, self.seq, self.running, self.busy = 0, 0, 0, False
         self.wrong_chunks = {}
         await self.start()
-        self.note(f"came back as {self.identity}, chunks staged {sorted(self.staged)}")
+        self.record_event(f"came back as {self.identity}, chunks staged {sorted(self.staged)}")
--- a/tests/soak/soak_faults.py
+++ b/tests/soak/soak_faults.py
@@ -5,7 +5,7 @@
 import time
 
 import silent_sockets
-from soak_checks import DEADLINE_S, DRAIN_BOUND_S
+from soak_checks import DEADLINE_S, DRAIN_LIMIT_S
 from soak_engine import KILLER_TARGET
 from soak_fleet import GATEWAYS
 
@@ -13,9 +13,9 @@
           "agent_killed_at_order"]
 ENGINE_FAULTS = ["runner_trouble", "late_orders", "order_overtaken", "engine_crash", "bad_chunks",
                  "slow_reports", "engine_mute", "killer_request"]
-MUTE_TIMES = 3  # Longer together than the 2.3 s for which an agent trusts what it read back.
-MUTE_REPORT_S = 1.0  # The agent waits 0.6 s for a report.
-ORDER_PATIENCE_S = 4.0  # A version is mostly ordered 1 to 3 s after its naming.
+SLOW_REPORT_COUNT = 3  # Longer together than the 2.3 s for which an agent trusts what it read back.
+SLOW_REPORT_DELAY_S = 1.0  # The agent waits 0.6 s for a report.
+ORDER_TIMEOUT_S = 4.0  # A version is mostly ordered 1 to 3 s after its naming.
 PLANNED = ["drain", "new_configurations", "new_weights", "weights_in_succession", "planned_stop"]
 
 
@@ -25,36 +25,36 @@
     def __init__(self, platform, checks, random):
         self.platform, self.checks, self.random = platform, checks, random
         self.tasks = []
-        self.played = {}
+        self.injected = {}
         self.timeline = []
         self.stopping = set()
         self.load = None  # Killers go on as long as it does; set by the soak.
-        self.killers = []
-        self.chosen = FAULTS + ENGINE_FAULTS + PLANNED  # What is drawn from.
+        self.killer_tasks = []
+        self.enabled = FAULTS + ENGINE_FAULTS + PLANNED  # What is drawn from.
 
-    def note(self, text, count=1):
-        self.played[text] = self.played.get(text, 0) + count
+    def record(self, text, count=1):
+        self.injected[text] = self.injected.get(text, 0) + count
         self.timeline.append((time.monotonic(), f"{text} {count}"))
 
-    def play(self, name, length):
-        self.note(name)
+    def inject(self, name, duration):
+        self.record(name)
         if name in FAULTS:
-            self.checks.disturb(length)
+            self.checks.disturb(duration)
         elif name in ENGINE_FAULTS:
-            self.checks.disturb_engines(length)
-        task = asyncio.create_task(getattr(self, name)(length))
+            self.checks.disturb_engines(duration)
+        task = asyncio.create_task(getattr(self, name)(duration))
         self.tasks.append(task)
         return task
 
-    def play_any(self):
-        return self.play(self.random.choice(self.chosen), self.random.uniform(0.3, 3.0))
+    def inject_random(self):
+        return self.inject(self.random.choice(self.enabled), self.random.uniform(0.3, 3.0))
 
-    def any_runner(self):
+    def random_runner(self):
         return self.random.choice(self.platform.plain + self.platform.engines)
 
     # ---- links and the store ----
 
-    async def link_trouble(self, proxy, length):
+    async def impair_link(self, proxy, duration):
         kind = self.random.choice(["delay", "hold", "up", "down", "reset"])
         if kind == "delay":
             proxy.delay = self.random.uniform(0.02, 0.4)
@@ -65,25 +65,25 @@
             proxy.reset()
         else:
             proxy.hold(kind)
-        await asyncio.sleep(length)
+        await asyncio.sleep(duration)
         if self.random.random() < 0.5:
             proxy.reset()
-        proxy.heal()
+        proxy.restore()
 
-    async def store_trouble(self, length):
+    async def store_trouble(self, duration):
         store = self.platform.store
         kind = self.random.choice(["down", "mute", "link", "link"])
         if kind == "link":
-            await self.link_trouble(self.platform.store_proxy, length)
+            await self.impair_link(self.platform.store_proxy, duration)
             return
         setattr(store, kind, True)
-        await asyncio.sleep(length)
+        await asyncio.sleep(duration)
         setattr(store, kind, False)
 
-    async def runner_link(self, length):
-        await self.link_trouble(self.random.choice(list(self.platform.proxies.values())), length)
+    async def runner_link(self, duration):
+        await self.impair_link(self.random.choice(list(self.platform.proxies.values())), duration)
 
-    async def silent_links(self, length):
+    async def silent_links(self, duration):
         """Open connections say nothing more; what was sent on them may wait for its deadline."""
         self.checks.disturb(DEADLINE_S)
         where = self.random.choice(["store", "runner", "internal", "internal"])
@@ -103,79 +103,79 @@
         process = self.random.choice(live)
         others = [other for other in live if other is not process]
         silenced = silent_sockets.silence(process, others, self.platform.internal)
-        self.note(f"internal connections of {process.args[-1].stem} silenced", silenced)
+        self.record(f"internal connections of {process.args[-1].stem} silenced", silenced)
 
     # ---- back ends ----
 
-    async def runner_trouble(self, length):
-        runner = self.any_runner()
+    async def runner_trouble(self, duration):
+        runner = self.random_runner()
         runner.mode = self.random.choice(["shed", "lost", "break"])
-        await asyncio.sleep(length)
+        await asyncio.sleep(duration)
         runner.mode = "whole"
 
-    async def order_overtaken(self, length):
+    async def order_overtaken(self, duration):
         """The next version is named while an order for the last one is on its way, twice."""
         engine = self.random.choice(self.platform.engines)
-        engine.order_trouble = "late"
+        engine.order_fault = "late"
         for _ in range(2):
-            await self.late_order(engine)
+            await self.await_delayed_order(engine)
             await asyncio.sleep(self.random.uniform(0.1, 0.8))
         self.platform.name_weights()
-        await asyncio.sleep(length)
-        engine.order_trouble = None
+        await asyncio.sleep(duration)
+        engine.order_fault = None
 
-    async def late_orders(self, length):
+    async def late_orders(self, duration):
         """Orders are taken late, or never, while one version is named after another."""
         engines = self.random.sample(self.platform.engines, self.random.choice([1, 2, 3]))
         for engine in engines:
-            engine.order_trouble = self.random.choice(["late", "late", "lost", "answered late"])
+            engine.order_fault = self.random.choice(["late", "late", "lost", "answered late"])
         self.platform.name_weights()
         for _ in range(self.random.choice([1, 2])):
             await asyncio.sleep(self.random.uniform(0.5, 3.0))
             self.platform.name_weights()
-        await asyncio.sleep(length)
+        await asyncio.sleep(duration)
         for engine in engines:
-            engine.order_trouble = None
+            engine.order_fault = None
 
-    async def agent_killed_at_order(self, length):
+    async def agent_killed_at_order(self, duration):
         """The agent ends while an order of its own is on its way, and knows nothing of it after."""
         index = self.random.randrange(len(self.platform.engines))
         engine = self.platform.engines[index]
-        engine.order_trouble = "late"
-        if await self.late_order(engine):
+        engine.order_fault = "late"
+        if await self.await_delayed_order(engine):
             self.checks.disturb(1.0)
-            engine.order_trouble = "lost"  # What the agent's next life orders.
+            engine.order_fault = "lost"  # What the agent's next life orders.
             process = self.platform.hosts[index]
-            start_again = self.starter(self.platform.hosts, index, process)
-            await self.end_process(process, start_again, signal.SIGKILL, 0.0)
+            start_process = self.restart_function(self.platform.hosts, index, process)
+            await self.stop_process(process, start_process, signal.SIGKILL, 0.0)
             self.platform.name_weights()
-        await asyncio.sleep(length)
-        engine.order_trouble = None
+        await asyncio.sleep(duration)
+        engine.order_fault = None
 
-    async def late_order(self, engine):
+    async def await_delayed_order(self, engine):
         """Names a version and waits until an order for it is on its way; whether there is one."""
-        before = engine.late_orders
+        before = engine.delayed_orders
         self.platform.name_weights()
-        end = time.monotonic() + ORDER_PATIENCE_S
-        while time.monotonic() < end and engine.late_orders == before:
+        end = time.monotonic() + ORDER_TIMEOUT_S
+        while time.monotonic() < end and engine.delayed_orders == before:
             await asyncio.sleep(0.02)
-        return engine.late_orders > before
+        return engine.delayed_orders > before
 
-    async def engine_mute(self, length):
+    async def engine_mute(self, duration):
         """An order is on its way, and the engine answers for its load too late now and then."""
         engine = self.random.choice(self.platform.engines)
-        engine.order_trouble = "late"
-        await self.late_order(engine)
-        for _ in range(MUTE_TIMES):
-            engine.report_delay = MUTE_REPORT_S
+        engine.order_fault = "late"
+        await self.await_delayed_order(engine)
+        for _ in range(SLOW_REPORT_COUNT):
+            engine.report_delay = SLOW_REPORT_DELAY_S
             await asyncio.sleep(self.random.uniform(0.7, 1.2))
             engine.report_delay = 0.0
             await asyncio.sleep(self.random.uniform(0.1, 0.5))
         self.platform.name_weights()
-        await asyncio.sleep(length)
-        engine.order_trouble = None
+        await asyncio.sleep(duration)
+        engine.order_fault = None
 
-    async def engine_crash(self, length):
+    async def engine_crash(self, duration):
         """Often while a version is on its way; staged chunks are kept."""
         engine = self.random.choice(self.platform.engines)
         if engine.draining_since or engine.down:
@@ -184,134 +184,135 @@
         if self.random.random() < 0.5:
             self.platform.name_weights()
             await asyncio.sleep(self.random.uniform(0, 1.5))
-        self.checks.disturb_engines(length)
+        self.checks.disturb_engines(duration)
         old = engine.identity
         await engine.crash()
-        await asyncio.sleep(length / 2)
-        await engine.come_back()
+        await asyncio.sleep(duration / 2)
+        await engine.recover()
         self.platform.register(engine, engine.service)
         self.checks.disturb_engines(0)
         engine.down = False
-        await asyncio.sleep(self.random.uniform(0, length / 2))
+        await asyncio.sleep(self.random.uniform(0, duration / 2))
         self.platform.unregister(old)
 
-    async def killer_request(self, length):
+    async def killer_request(self, duration):
         """A request that ends the engine that begins it, again and again until the end of the run."""
-        target = f"{KILLER_TARGET}{len(self.killers) + 1}"
+        target = f"{KILLER_TARGET}{len(self.killer_tasks) + 1}"
         for _ in range(self.random.choice([1, 1, 3])):
-            self.killers.append(asyncio.create_task(self.send_killer(target)))
-        await asyncio.sleep(length)
+            self.killer_tasks.append(asyncio.create_task(self.send_killer(target)))
+        await asyncio.sleep(duration)
 
     async def send_killer(self, target):
-        tries = 0
+        attempts = 0
         while time.monotonic() < self.load.end:
-            tries += 1
+            attempts += 1
             host = self.random.choice(GATEWAYS)
             try:
                 await asyncio.wait_for(self.platform.call_gateway(
-                    host, "POST", target, f"killer{target}-{id(asyncio.current_task())}-{tries}"),
+                    host, "POST", target,
+                    f"killer{target}-{id(asyncio.current_task())}-{attempts}"),
                     DEADLINE_S)
             except (OSError, IndexError, ValueError, asyncio.TimeoutError):
                 pass  # Its engine or gateway has ended.
             await asyncio.sleep(self.random.uniform(0.2, 0.8))
 
-    async def bad_chunks(self, length):
+    async def bad_chunks(self, duration):
         engine = self.random.choice(self.platform.engines)
         for _ in range(self.random.choice([1, 3])):
-            engine.spoil(self.random.randrange(len(engine.staged)))
-            await asyncio.sleep(length / 3)
+            engine.corrupt(self.random.randrange(len(engine.staged)))
+            await asyncio.sleep(duration / 3)
 
-    async def slow_reports(self, length):
+    async def slow_reports(self, duration):
         engine = self.random.choice(self.platform.engines)
         engine.report_delay = self.random.uniform(0.1, 1.5)
-        await asyncio.sleep(length)
+        await asyncio.sleep(duration)
         engine.report_delay = 0.0
 
     # ---- processes ----
 
-    def group(self):
+    def random_group(self):
         return self.random.choice([self.platform.gateways, self.platform.hosts])
 
-    def starter(self, group, key, process):
+    def restart_function(self, group, key, process):
         start = self.platform.start_gateway if group is self.platform.gateways \
             else self.platform.start_host
 
-        def start_again():
+        def start_process():
             # Two faults may have ended the same process: it is started once.
             if group[key] is process:
                 start(key)
-        return start_again
+        return start_process
 
-    def any_process(self):
-        group = self.group()
+    def random_process(self):
+        group = self.random_group()
         key = self.random.choice(sorted(group))
-        return group[key], self.starter(group, key, group[key])
+        return group[key], self.restart_function(group, key, group[key])
 
-    async def freeze(self, length):
-        process, _ = self.any_process()
+    async def freeze(self, duration):
+        process, _ = self.random_process()
         if process.poll() is None:
             process.send_signal(signal.SIGSTOP)
-            await asyncio.sleep(length)
+            await asyncio.sleep(duration)
             process.send_signal(signal.SIGCONT)
 
-    async def end_process(self, process, start_again, number, length):
-        stops_already = number == signal.SIGTERM and process in self.stopping
-        if process.poll() is not None or stops_already:
+    async def stop_process(self, process, start_process, signal_number, duration):
+        already_stopping = signal_number == signal.SIGTERM and process in self.stopping
+        if process.poll() is not None or already_stopping:
             return  # A second stop signal asks for an end at once.
-        if number == signal.SIGTERM:
+        if signal_number == signal.SIGTERM:
             self.stopping.add(process)
-        process.send_signal(number)
+        process.send_signal(signal_number)
         while process.poll() is None:
             await asyncio.sleep(0.05)
-        await asyncio.sleep(length / 4)
-        start_again()
+        await asyncio.sleep(duration / 4)
+        start_process()
 
-    async def kill(self, length):
-        await self.end_process(*self.any_process(), signal.SIGKILL, length)
+    async def kill(self, duration):
+        await self.stop_process(*self.random_process(), signal.SIGKILL, duration)
         self.checks.disturb(1.0)
 
-    async def kill_group(self, length):
+    async def kill_group(self, duration):
         """All gateways or all agents, at once or in turn."""
-        group = self.group()
-        gap = self.random.choice([0.0, 0.0, length / len(group)])
-        ends = []
+        group = self.random_group()
+        gap = self.random.choice([0.0, 0.0, duration / len(group)])
+        stops = []
         for key in sorted(group):
             process = group[key]
-            ends.append(asyncio.create_task(self.end_process(
-                process, self.starter(group, key, process), signal.SIGKILL, length)))
+            stops.append(asyncio.create_task(self.stop_process(
+                process, self.restart_function(group, key, process), signal.SIGKILL, duration)))
             self.checks.disturb(1.0)
             await asyncio.sleep(gap)
-        await asyncio.gather(*ends)
+        await asyncio.gather(*stops)
         self.checks.disturb(1.0)
 
     # ---- planned work ----
 
-    async def planned_stop(self, length):
-        await self.end_process(*self.any_process(), signal.SIGTERM, length)
+    async def planned_stop(self, duration):
+        await self.stop_process(*self.random_process(), signal.SIGTERM, duration)
 
-    async def drain(self, length):
-        runner = self.any_runner()
+    async def drain(self, duration):
+        runner = self.random_runner()
         if runner.draining_since or runner.down:
             return
         self.platform.register(runner, runner.service, state="draining")
         runner.draining_since = time.monotonic()
-        await asyncio.sleep(DRAIN_BOUND_S + length)
+        await asyncio.sleep(DRAIN_LIMIT_S + duration)
         self.platform.unregister(runner.identity)
         await asyncio.sleep(0.5)
-        await runner.start_anew()
+        await runner.restart()
         runner.draining_since = None
         self.platform.register(runner, runner.service)
 
-    async def new_configurations(self, length):
+    async def new_configurations(self, duration):
         for _ in range(self.random.choice([1, 1, 20])):
             self.platform.add_route()
             await asyncio.sleep(0.08)
 
-    async def new_weights(self, length):
+    async def new_weights(self, duration):
         self.platform.name_weights()
-        await asyncio.sleep(length)
+        await asyncio.sleep(duration)
 
-    async def weights_in_succession(self, length):
+    async def weights_in_succession(self, duration):
         for _ in range(self.random.choice([2, 3])):
             self.platform.name_weights()
             await asyncio.sleep(self.random.uniform(0.5, 5.0))
--- a/tests/soak/soak_fleet.py
+++ b/tests/soak/soak_fleet.py
@@ -10,7 +10,7 @@
 import platform_test
 from loopback_proxy import LoopbackProxy
 from platform_standin import Origin, Store
-from soak_checks import DEADLINE_S, RETRY_EXTRA, RETRY_RATIO, START_BOUND_S
+from soak_checks import DEADLINE_S, RETRY_EXTRA, RETRY_RATIO, OUTDATED_WEIGHTS_LIMIT_S
 from soak_engine import SoakEngine, SoakRunner
 
 GATEWAYS = ["127.0.0.21", "127.0.0.22", "127.0.0.23"]
@@ -68,8 +68,8 @@
 
     def register(self, runner, service, state="ready"):
         self.store.put("servers", runner.identity, {
-            "service": service, "address": f"{runner.host}:{self.proxies[runner].port}", "zone": "z1",
-            "slots": 4, "state": state, "models": [], "layers": None})
+            "service": service, "address": f"{runner.host}:{self.proxies[runner].port}",
+            "zone": "z1", "slots": 4, "state": state, "models": [], "layers": None})
 
     def unregister(self, identity):
         if identity in self.store.objects["servers"]:
@@ -77,11 +77,11 @@
 
     def start_host(self, index):
         runner = self.engines[index]
-        real, store = runner.port, self.store
+        engine_port, store = runner.port, self.store
         # The agent takes the engine and the store where the proxies are.
         runner.port, self.store = self.proxies[runner].port, self.store_proxy
         self.hosts[index] = self.run_host(index, runner)
-        runner.port, self.store = real, store
+        runner.port, self.store = engine_port, store
 
     def start_gateway(self, host):
         callers, ready, metrics = self.ports[host]
@@ -97,7 +97,7 @@
 metrics={host}:{metrics}
 internal={host}:{self.internal}
 [weights]
-changeover_ms={int(START_BOUND_S * 1000)}
+changeover_ms={int(OUTDATED_WEIGHTS_LIMIT_S * 1000)}
 changeover_margin_ms=500
 [retry]
 ratio={RETRY_RATIO}
@@ -108,7 +108,7 @@
 [platform]
 store=127.0.0.1:{self.store_proxy.port}
 """)
-        self.checks.lives[host] = self.checks.lives.get(host, 0) + 1
+        self.checks.incarnations[host] = self.checks.incarnations.get(host, 0) + 1
 
     def launch(self, name, program, settings, stdout=None):
         """Later lives of a process add to its log."""
@@ -118,8 +118,9 @@
     async def call_gateway(self, host, method, target, identity, port=0):
         reader, writer = await asyncio.open_connection(host, self.ports[host][port])
         fields = {"Host": "api.example", "X-Api-Key": "key", "X-Pumicemast-Request-Id": identity,
-                  "X-Pumicemast-Deadline-Ms": str(int(DEADLINE_S * 1000)), "X-Pumicemast-Model": "m",
-                  "X-Pumicemast-Token-Usage": "100,50", "Content-Length": "0"}
+                  "X-Pumicemast-Deadline-Ms": str(int(DEADLINE_S * 1000)),
+                  "X-Pumicemast-Model": "m", "X-Pumicemast-Token-Usage": "100,50",
+                  "Content-Length": "0"}
         lines = [f"{method} {target} HTTP/1.1"] + [f"{n}: {v}" for n, v in fields.items()]
         writer.write(("\r\n".join(lines) + "\r\n\r\n").encode())
         try:
--- a/tests/soak/soak_limits.py
+++ b/tests/soak/soak_limits.py
@@ -3,7 +3,7 @@
 import asyncio
 
 RATES = ["0.5", "1", "2", "5.5", "10"]  # Requests a second.
-LONGEST_S = 9.0  # For which one limit is named; some windows of the check fit in.
+MAX_LIMIT_DURATION_S = 9.0  # For which one limit is named; some windows of the check fit in.
 
 
 class Limits:
@@ -11,33 +11,33 @@
 
     def __init__(self, platform, checks, random):
         self.platform, self.checks, self.random = platform, checks, random
-        self.named = 0
+        self.limits_set = 0
 
     async def run(self):
         """Until cancelled; limits that are named then stay."""
         while True:
             await asyncio.sleep(self.random.uniform(0.3, 1.5))
-            runners = self.drawn()
+            runners = self.choose_runners()
             for runner in runners:
-                self.name(runner, self.random.choice(RATES))
-            await asyncio.sleep(self.random.uniform(2.0, LONGEST_S))
+                self.set_limit(runner, self.random.choice(RATES))
+            await asyncio.sleep(self.random.uniform(2.0, MAX_LIMIT_DURATION_S))
             if self.random.random() < 0.3:  # Another limit follows at once.
                 continue
-            self.lift(runners)
+            self.remove_limits(runners)
 
-    def drawn(self):
+    def choose_runners(self):
         group = self.random.choice([self.platform.engines, self.platform.plain])
         return group if self.random.random() < 0.4 else [self.random.choice(group)]
 
-    def name(self, runner, rate):
-        self.named += 1
+    def set_limit(self, runner, rate):
+        self.limits_set += 1
         runner.limit = rate
-        self.checks.on_limit(runner, float(rate))
+        self.checks.on_limit_changed(runner, float(rate))
 
-    def lift(self, runners):
+    def remove_limits(self, runners):
         for runner in runners:
             runner.limit = None
-            self.checks.on_limit(runner, None)
+            self.checks.on_limit_changed(runner, None)
 
-    def lift_all(self):
-        self.lift(self.platform.engines + self.platform.plain)
+    def remove_all_limits(self):
+        self.remove_limits(self.platform.engines + self.platform.plain)
--- a/tests/soak/soak_load.py
+++ b/tests/soak/soak_load.py
@@ -7,7 +7,7 @@
 from soak_fleet import GATEWAYS
 
 CALLERS = 8
-LONGEST_PAUSE_S = 0.08
+MAX_PAUSE_S = 0.08
 
 
 class Load:
@@ -19,32 +19,32 @@
         self.end = 0.0
 
     def start(self):
-        return [asyncio.create_task(self.caller()) for _ in range(CALLERS)]
+        return [asyncio.create_task(self.run_caller()) for _ in range(CALLERS)]
 
-    async def caller(self):
+    async def run_caller(self):
         while time.monotonic() < self.end:
             self.number += 1
             kind = self.random.choice(["chat", "chat", "write", "read", "route"])
             host = self.random.choice(GATEWAYS)
-            await self.ask(kind, host, f"{kind}-{self.number}")
-            await asyncio.sleep(self.random.uniform(0.0, LONGEST_PAUSE_S))
+            await self.send_request(kind, host, f"{kind}-{self.number}")
+            await asyncio.sleep(self.random.uniform(0.0, MAX_PAUSE_S))
 
-    async def ask(self, kind, host, identity):
-        checks, life = self.checks, (host, self.checks.lives[host])
+    async def send_request(self, kind, host, identity):
+        checks, incarnation = self.checks, (host, self.checks.incarnations[host])
         version = self.platform.version
         target = f"/v{version}/1" if kind == "route" else f"/{kind}/1"
         method = "POST" if kind == "chat" else "GET"
-        limit = soak_checks.DEADLINE_S + 2 * soak_checks.LATE_S
-        began = time.monotonic()
+        limit = soak_checks.DEADLINE_S + 2 * soak_checks.DEADLINE_TOLERANCE_S
+        started_at = time.monotonic()
         checks.on_sent(kind)
         try:
-            answered = await asyncio.wait_for(
+            response = await asyncio.wait_for(
                 self.platform.call_gateway(host, method, target, identity), limit)
         except asyncio.TimeoutError:
-            checks.on_no_answer(identity)
-            return checks.count(kind, "no answer")
+            checks.on_response_timeout(identity)
+            return checks.count_outcome(kind, "no answer")
         except (OSError, IndexError, ValueError):
-            return checks.count(kind, "closed")
-        checks.on_answer_after(identity, time.monotonic() - began)
-        checks.check(kind, identity, answered, life, version)
-        return checks.count(kind, str(answered.status) if answered.whole else "cut")
+            return checks.count_outcome(kind, "closed")
+        checks.on_response_time(identity, time.monotonic() - started_at)
+        checks.check_response(kind, identity, response, incarnation, version)
+        return checks.count_outcome(kind, str(response.status) if response.whole else "cut")
--- a/tests/soak/suspended_clock.c
+++ b/tests/soak/suspended_clock.c
@@ -6,18 +6,18 @@
 #include <time.h>
 #include <unistd.h>
 
-static const long long kStoodStillNs = 250000000;
+static const long long kSuspendThresholdNs = 250000000;
 static const long long kSecondNs = 1000000000;
 
 int clock_gettime(clockid_t clock, struct timespec *time) {
   static long long last_ns;
-  static long long slept_ns;
+  static long long suspended_ns;
   long failed = syscall(SYS_clock_gettime, clock, time);
   if (failed != 0 || clock != CLOCK_MONOTONIC) return (int)failed;
   long long now_ns = time->tv_sec * kSecondNs + time->tv_nsec;
-  if (last_ns != 0 && now_ns - last_ns > kStoodStillNs) slept_ns += now_ns - last_ns;
+  if (last_ns != 0 && now_ns - last_ns > kSuspendThresholdNs) suspended_ns += now_ns - last_ns;
   last_ns = now_ns;
-  time->tv_sec = (now_ns - slept_ns) / kSecondNs;
-  time->tv_nsec = (now_ns - slept_ns) % kSecondNs;
+  time->tv_sec = (now_ns - suspended_ns) / kSecondNs;
+  time->tv_nsec = (now_ns - suspended_ns) % kSecondNs;
   return 0;
 }
