--- a/tests/soak/fault_soak.py
+++ b/tests/soak/fault_soak.py
@@ -1,7 +1,7 @@
-"""A randomized soak: real gateways and agents as separate processes, faults from outside them.
+"""Randomized soak test: real gateways and agents as separate processes, with injected faults.
 
-Everything is drawn from one seed. While it runs, the promises are checked from what callers and back
-ends see; afterwards the system must serve as before.
+One seed determines all random choices. During a run the system's guarantees are checked from the
+requests and responses at callers and back ends; afterwards the system must serve as before.
 Usage: fault_soak.py BUILD_FOLDER [--seeds FIRST:COUNT[,...]] [--seconds N] [--only FAULT[,...]]
        [--limits] [--regressions] [--keep FOLDER]
 """
@@ -26,20 +26,20 @@
 from soak_limits import Limits  # noqa: E402
 from soak_load import Load  # noqa: E402
 
-PLANNED_WORK_S = 10.0  # Planned work with nothing disturbed, after the faults: there all bounds hold.
+PLANNED_WORK_S = 10.0  # Seconds of planned work after the faults, without any; all bounds apply.
 HEARTBEAT_INTERVAL_S = 0.05
-RECOVERY_TIMEOUT_S = 5.0  # Every gateway serves again so long after the last work.
+RECOVERY_TIMEOUT_S = 5.0  # Seconds after the last work within which every gateway serves again.
 REGRESSIONS = Path(__file__).with_name("regression_seeds.txt")
 
 
 @dataclass
 class Plan:
-    """What to play."""
+    """The parameters of one run."""
 
     seed: int
     seconds: float
-    faults: list  # Empty: all.
-    limits: bool = False  # Back ends name rate limits beside them.
+    faults: list  # Empty for all.
+    limits: bool = False  # Back ends set rate limits in addition to the faults.
 
     def __str__(self):
         fault_list = " of " + ",".join(self.faults) if self.faults else ""
@@ -52,7 +52,7 @@
     def __init__(self, seed, seconds, folder):
         self.random, self.seconds = random.Random(seed), seconds
         self.checks = Checks()
-        # Each has its own draws: those of callers come in an order that only timing decides.
+        # Each part has its own generator: the order of the callers' draws depends on timing.
         engines, faults, load = (random.Random(f"{part} {seed}")
                                  for part in ("engines", "faults", "load"))
         self.platform = SoakPlatform(folder, self.checks, engines)
@@ -93,17 +93,17 @@
         while time.monotonic() < self.end - 1:
             task = self.faults.inject_random()
             if self.random.random() < 0.5:
-                await task  # Otherwise the next one overlaps.
+                await task  # Otherwise the next fault overlaps.
             await asyncio.sleep(self.random.uniform(0.1, 1.0))
 
     async def wait_until_undisturbed(self):
-        """Waits until every fault is over and nothing was disturbed for a while."""
+        """Waits until every fault has ended and the system was undisturbed for UNDISTURBED_S."""
         await asyncio.gather(*self.faults.tasks)
         while not self.checks.all_undisturbed():
             await asyncio.sleep(0.1)
 
     async def run_planned_work(self):
-        """Nothing is disturbed here: every bound is checked."""
+        """Runs planned work without faults, so that every bound is checked."""
         self.load.end = time.monotonic() + PLANNED_WORK_S
         for name in self.random.sample(PLANNED, len(PLANNED)):
             self.faults.inject(name, 0.5)
@@ -112,7 +112,7 @@
         await asyncio.gather(*self.faults.tasks)
 
     async def check_recovered(self):
-        """With all faults over, every gateway serves, with the newest configuration."""
+        """Checks that after all faults every gateway serves with the newest configuration."""
         for host in GATEWAYS:
             try:
                 await self.platform.wait(lambda host=host: self.platform.serves(host),
@@ -123,13 +123,13 @@
         for name, process in [*self.platform.gateways.items(), *self.platform.hosts.items()]:
             if process.poll() is not None:
                 self.checks.report_violation("FAULT",
-                                             f"{name} ended by itself with {process.poll()}")
+                                             f"{name} exited by itself with {process.poll()}")
 
     async def check_newest_route(self, host):
         version = self.platform.version
         response = await self.platform.call_gateway(host, "GET", f"/v{version}/1", f"last-{host}")
         if response.status == 404 and version > 1:
-            self.checks.report_violation("CONFIG", f"{host} lacks version {version} at the end")
+            self.checks.report_violation("CONFIG", f"{host} lacks configuration version {version}")
 
 
 def run_plan(plan, keep):
@@ -139,10 +139,10 @@
     soak.limits_enabled = plan.limits
     asyncio.run(soak.run())
     checks = soak.checks
-    clock = " (a frozen process is a suspended machine)" if soak.simulates_suspend else ""
+    clock = " (frozen processes see a suspended machine)" if soak.simulates_suspend else ""
     print(f"{plan}{clock}: {len(checks.violations)} violations; " + format_counts(checks.outcomes)
-          + "\n  played: " + format_counts(soak.faults.injected)
-          + (f", limits named {soak.limits.limits_set}" if plan.limits else ""), flush=True)
+          + "\n  injected: " + format_counts(soak.faults.injected)
+          + (f", limits set {soak.limits.limits_set}" if plan.limits else ""), flush=True)
     for violation in checks.violations:
         print("  " + violation, flush=True)
     if checks.violations and keep:
@@ -167,7 +167,7 @@
 
 
 def read_seeds(text):
-    """FIRST:COUNT or single seeds, separated by commas."""
+    """Parses FIRST:COUNT or single seeds, separated by commas."""
     seeds = []
     for part in text.split(","):
         first, _, count = part.partition(":")
@@ -176,7 +176,7 @@
 
 
 def regressions():
-    """Plays that broke a rule once, one a line: `SEED SECONDS [FAULT,...]: CAUSE`."""
+    """Reads runs that once violated a rule, one per line: `SEED SECONDS [FAULT,...]: CAUSE`."""
     lines = [line.split(": ", 1)[0].split() for line in REGRESSIONS.read_text().splitlines()]
     return [Plan(int(seed), float(seconds), ",".join(faults).split(",") if faults else [])
             for seed, seconds, *faults in lines]
@@ -187,11 +187,11 @@
     parser.add_argument("build", type=Path)
     parser.add_argument("--seeds", default="1:1", help="FIRST:COUNT or SEED, separated by commas")
     parser.add_argument("--seconds", type=float, default=15)
-    parser.add_argument("--only", help="draw from these faults alone, separated by commas")
+    parser.add_argument("--only", help="inject only these faults, separated by commas")
     parser.add_argument("--limits", action="store_true",
-                        help="back ends name rate limits beside the faults")
-    parser.add_argument("--regressions", action="store_true", help="play the listed seeds as well")
-    parser.add_argument("--keep", help="folder for the logs of failed seeds")
+                        help="back ends also set rate limits")
+    parser.add_argument("--regressions", action="store_true", help="also run the regression seeds")
+    parser.add_argument("--keep", help="folder in which to keep the logs of failed seeds")
     return parser.parse_args(ARGUMENTS)
 
 
--- a/tests/soak/loopback_proxy.py
+++ b/tests/soak/loopback_proxy.py
@@ -1,7 +1,7 @@
-"""A TCP proxy on loopback whose links can be slowed, held, silenced or reset while they are in use.
+"""A TCP proxy on loopback whose connections can be delayed, held, silenced or reset during use.
 
-Bytes are never dropped from a connection that lives on: as on a real network, what is held up comes
-later, or the connection breaks, or it says nothing more for good.
+Bytes are never dropped from a connection that stays open: as on a real network, held data arrives
+later, or the connection breaks, or it stays silent forever.
 """
 
 import asyncio
@@ -14,11 +14,11 @@
 
     def __init__(self, host, target_host, target_port):
         self.host, self.target = host, (target_host, target_port)
-        self.delay = 0.0  # Seconds that each piece takes, either way.
-        self.refusing = False  # New connections are closed at once.
+        self.delay = 0.0  # Seconds that each read is delayed, in either direction.
+        self.refusing = False  # New connections are aborted.
         self.direction_gates = {"up": asyncio.Event(), "down": asyncio.Event()}
         self.writers = set()
-        self.connection_gates = set()  # An event for each open connection; cleared when it goes silent.
+        self.connection_gates = set()  # An event for each open connection; cleared to silence it.
         self.restore()
 
     async def start(self):
@@ -35,7 +35,7 @@
             direction.set()
 
     def hold(self, *directions):
-        """Holds up what goes "up" (to the target), "down", or both."""
+        """Holds data in the directions "up" (to the target), "down", or both."""
         for direction in directions:
             self.direction_gates[direction].clear()
 
@@ -44,7 +44,10 @@
             writer.transport.abort()
 
     def silence(self):
-        """What is open now never says anything again, nor breaks; new connections work."""
+        """Silences open connections for good without closing them; returns their number.
+
+        New connections work.
+        """
         for gate in self.connection_gates:
             gate.clear()
         return len(self.connection_gates)
@@ -67,7 +70,7 @@
             await asyncio.gather(self.pump("up", reader, target_writer, gate),
                                  self.pump("down", target_reader, writer, gate))
         except (ConnectionError, asyncio.CancelledError, OSError):
-            pass  # One side broke off: so does the other.
+            pass  # One side closed or reset its connection: the other is aborted too.
         finally:
             self.writers -= both
             self.connection_gates.discard(gate)
--- a/tests/soak/silent_sockets.py
+++ b/tests/soak/silent_sockets.py
@@ -1,7 +1,7 @@
-"""Makes established connections between processes go silent for good, without a reset.
+"""Silences established connections between processes for good, without a reset.
 
-Every packet that comes in at such a socket is dropped by a socket filter, at both ends. Connections
-that are made later are not touched. Works on processes of the same user that this one started.
+A socket filter at both ends drops every incoming packet. Later connections are not affected. Works
+on processes of the same user that this process started.
 """
 
 import ctypes
@@ -9,13 +9,13 @@
 import socket
 import struct
 
-PIDFD_GETFD = 438  # The call's number on every architecture; Python does not offer it.
+PIDFD_GETFD = 438  # System call number on every architecture; Python has no wrapper.
 ATTACH_FILTER = 26  # SO_ATTACH_FILTER of asm-generic/socket.h.
-DROP_ALL = struct.pack("HBBI", 0x06, 0, 0, 0)  # BPF_RET | BPF_K, 0 bytes of the packet are kept.
+DROP_ALL = struct.pack("HBBI", 0x06, 0, 0, 0)  # BPF_RET | BPF_K: keeps 0 bytes of a packet.
 
 
 def connections(process, port):
-    """Established TCP connections of a process that use `port` at one end, by (local, remote)."""
+    """Returns duplicates of a process's TCP sockets with `port` at one end, by (local, remote)."""
     library = ctypes.CDLL(None, use_errno=True)
     result = {}
     pidfd = os.pidfd_open(process.pid)
@@ -25,11 +25,11 @@
                 if not os.readlink(f"/proc/{process.pid}/fd/{name}").startswith("socket:"):
                     continue
             except OSError:
-                continue  # Closed meanwhile.
+                continue  # Closed in the meantime.
             descriptor = library.syscall(PIDFD_GETFD, pidfd, int(name), 0)
             if descriptor < 0:
                 if ctypes.get_errno() == 1:
-                    raise PermissionError("sockets of a process cannot be had here")
+                    raise PermissionError("not permitted to duplicate sockets of a process")
                 continue
             duplicate = socket.socket(fileno=descriptor)
             try:
@@ -47,7 +47,10 @@
 
 
 def silence(process, others, port):
-    """All connections of `process` by `port` go silent, here and at `others`; returns how many."""
+    """Silences all connections of `process` with `port`, at both ends; returns their number.
+
+    `others` are the processes that may hold the other ends.
+    """
     own_sockets = connections(process, port)
     address_pairs = set(own_sockets) | {(remote, local) for local, remote in own_sockets}
     sockets = list(own_sockets.values())
--- a/tests/soak/soak_checks.py
+++ b/tests/soak/soak_checks.py
@@ -1,4 +1,4 @@
-"""What callers and back ends see, and the rules that it must keep."""
+"""Records what callers and back ends observe and checks it against the system's guarantees."""
 
 import time
 from bisect import bisect_left, bisect_right
@@ -6,27 +6,29 @@
 from platform_standin import CHUNKS, piece
 
 DEADLINE_S = 5.0
-DEADLINE_TOLERANCE_S = 1.0  # An answer may come so much later than its deadline, on a loaded machine.
-OUTDATED_WEIGHTS_LIMIT_S = 3.0  # As in the settings: older weights may start requests after a naming.
+DEADLINE_TOLERANCE_S = 1.0  # Tolerated delay past the deadline, on a loaded machine.
+#: As in the settings: requests may start on older weights for so long after a version is named.
+OUTDATED_WEIGHTS_LIMIT_S = 3.0
 DRAIN_LIMIT_S = 2.0
-UNDISTURBED_S = 4.0  # Bounds hold only when nothing was disturbed for so long.
-CORRUPTION_GRACE_S = 3.0  # A chunk that turned bad so shortly before is not the system's fault.
+UNDISTURBED_S = 4.0  # Bounds are checked only after so long without a fault.
+CORRUPTION_GRACE_S = 3.0  # The system need not detect a chunk that was corrupted more recently.
 RETRY_RATIO = 0.2  # As in the gateways' settings.
 RETRY_EXTRA = 30
 RETRY_WINDOW_S = 10.0
-CRASH_THRESHOLD = 3  # Engines that end under one request before it is run no more.
-TOLERATED_LATE_CRASHES = 3  # Whose evidence may have been lost while the system was disturbed.
-CRASH_PROPAGATION_S = 3.0  # After the third end every gateway that is in touch knows.
+CRASH_THRESHOLD = 3  # Crashes of engines after which a request is quarantined.
+TOLERATED_LATE_CRASHES = 3  # Records of earlier crashes may be lost while the system is disturbed.
+CRASH_PROPAGATION_S = 3.0  # Seconds after the third crash until all connected gateways know of it.
 LIMIT_WINDOW_S = 4.0
-LIMIT_PROPAGATION_S = 1.0  # After a back end first named a limit, until all gateways keep it.
-LIMIT_BURST = 2  # Requests above the rate in a window, with nothing disturbed.
-DISTURBED_RATIO, DISTURBED_EXTRA = 1.5, 5  # What the rule allows also while gateways come and go.
-HARNESS_STALL_S = 1.0  # The store and all back ends are played by one process: it stands still, so do they.
-REPORTED_TIMELINE_EVENTS = 40  # Events, the last ones; the whole time line is in the kept logs.
+LIMIT_PROPAGATION_S = 1.0  # After a back end first sends a limit, until all gateways apply it.
+LIMIT_BURST = 2  # Requests above the rate in a window, while undisturbed.
+DISTURBED_RATIO, DISTURBED_EXTRA = 1.5, 5  # Looser bound while gateways come and go.
+#: A stall of this process that counts as a fault: it runs the store and all back ends.
+HARNESS_STALL_S = 1.0
+REPORTED_TIMELINE_EVENTS = 40  # The latest events; the kept logs have the complete timeline.
 
 
 class RetryCount:
-    """Requests for one service, and arrivals there beyond the first of each."""
+    """Counts requests for one service, and their repeats: arrivals after the first of each."""
 
     def __init__(self):
         self.requests = []
@@ -34,7 +36,7 @@
         self.seen = set()
 
     def on_arrival(self, identity, now):
-        """Whether this one is a repeat."""
+        """Records an arrival; returns whether it is a repeat."""
         if identity not in self.seen:
             self.seen.add(identity)
             return False
@@ -46,14 +48,14 @@
         return bisect_right(times, end) - bisect_left(times, end - RETRY_WINDOW_S)
 
     def repeats_and_limit(self, now):
-        """Repeats in the window that ends now, and how many are allowed."""
+        """Returns the number of repeats in the window that ends now, and the allowed number."""
         requests = max(self.count_within(self.requests, now - shift * RETRY_WINDOW_S)
                        for shift in (0, 0.5, 1))
         return self.count_within(self.repeats, now), RETRY_RATIO * requests + RETRY_EXTRA
 
 
 class LimitCount:
-    """Requests that reach a back end since it named a limit."""
+    """Counts requests that reach a back end since it set a limit."""
 
     def __init__(self, rate):
         self.rate = rate
@@ -61,7 +63,7 @@
         self.arrivals = []
 
     def on_arrival(self, now):
-        """How many came in the window that ends now; 0 while gateways may not know of the limit."""
+        """Returns the arrivals in the window that ends now; 0 before all gateways must apply it."""
         if self.first_sent_at is None or now - self.first_sent_at < LIMIT_PROPAGATION_S:
             return 0
         self.arrivals.append(now)
@@ -73,56 +75,59 @@
 
 
 class Checks:
-    """The history of one run."""
+    """The observations of one run and the violations found in them."""
 
     def __init__(self):
         self.started_at = time.monotonic()
-        self.incarnations = {}  # By gateway: how often it was started.
-        self.start_counts = {}  # By request id: how often it began at a runner.
-        self.refused_requests = set()  # Not repeatable, answered as not run.
-        self.newest_route = {}  # By gateway and incarnation: newest route seen in force.
+        self.incarnations = {}  # By gateway: the number of its starts.
+        self.start_counts = {}  # By request id: how often it started at a back end.
+        self.refused_requests = set()  # Non-repeatable requests that were refused as not run.
+        self.newest_route = {}  # By (gateway, incarnation): the newest route that was in force.
         self.named_at = {1: 0.0}
         self.retries = {"engines": RetryCount(), "plain": RetryCount()}
-        self.crashes = {}  # By target: when engines ended under it.
-        self.late_crashes = {}  # By target: ends with nothing disturbed, long after the third.
-        self.limits = {}  # By identity of the back end: the limit that it names now.
+        self.crashes = {}  # By target: times at which it crashed engines.
+        self.late_crashes = {}  # By target: crashes after all gateways must know the third.
+        self.limits = {}  # By identity of the back end: its current limit.
         self.violations = []
         self.outcomes = {}
         self.disturbed_until = 0.0
         self.engines_disturbed_until = 0.0
-        self.last_heartbeat = None  # When the stand-ins last showed that they run.
+        self.last_heartbeat = None  # When the event loop of the stand-ins last ran.
 
     def report_violation(self, rule, text):
         self.violations.append(f"{time.monotonic() - self.started_at:.3f} s {rule}: {text}")
 
     def disturb(self, seconds):
-        """A fault of machines, links or the store. Planned work is none: bounds hold during it."""
+        """Records a fault of machines, links or the store.
+
+        Planned work is no fault: bounds hold during it.
+        """
         self.disturbed_until = max(self.disturbed_until, time.monotonic() + seconds)
 
     def disturb_engines(self, seconds):
-        """A fault of back ends alone: it excuses broken answers, and nothing that gateways do."""
+        """Records a fault of back ends: it excuses interrupted responses, no error of gateways."""
         self.engines_disturbed_until = max(self.engines_disturbed_until,
                                            time.monotonic() + seconds)
 
     def record_heartbeat(self):
-        """To be called often: where it is not, the store and back ends have stood still."""
+        """Records that the event loop runs; a gap means that the store and back ends stalled."""
         now = time.monotonic()
         if self.last_heartbeat is not None and now - self.last_heartbeat > HARNESS_STALL_S:
-            self.count_outcome("stand-ins", f"stood still {now - self.last_heartbeat:.0f} s")
-            self.disturb(DEADLINE_S)  # What was sent meanwhile may wait for its deadline.
+            self.count_outcome("stand-ins", f"stalled {now - self.last_heartbeat:.0f} s")
+            self.disturb(DEADLINE_S)  # Requests of that time may wait until their deadline.
         self.last_heartbeat = now
 
     def undisturbed(self):
-        """Nothing of the system or between its parts was disturbed for a while."""
+        """Whether machines, links and the store had no fault for UNDISTURBED_S."""
         self.record_heartbeat()
         return time.monotonic() > self.disturbed_until + UNDISTURBED_S
 
     def all_undisturbed(self):
-        """Nor were back ends."""
+        """Whether back ends had no fault for UNDISTURBED_S either."""
         return self.undisturbed() \
             and time.monotonic() > self.engines_disturbed_until + UNDISTURBED_S
 
-    # ---- what back ends see ----
+    # ---- observations of back ends ----
 
     def on_arrival(self, service, identity):
         now = time.monotonic()
@@ -135,7 +140,7 @@
                                             f"{RETRY_WINDOW_S} s, {allowed:.1f} allowed")
 
     def on_limit_changed(self, runner, rate):
-        """The back end names another limit from now on, or none."""
+        """The back end sets another limit from now on, or none."""
         self.limits.pop(runner.identity, None)
         if rate is not None:
             self.limits[runner.identity] = LimitCount(rate)
@@ -159,27 +164,27 @@
         self.start_counts[identity] = self.start_counts.get(identity, 0) + 1
         now = time.monotonic()
         if identity.startswith("write") and self.start_counts[identity] > 1:
-            self.report_violation("TWICE", f"{identity} began {self.start_counts[identity]} times")
+            self.report_violation("TWICE", f"{identity} ran {self.start_counts[identity]} times")
         if identity in self.refused_requests:
-            self.report_violation("REFUSED", f"{identity} began after it was answered as not run")
+            self.report_violation("REFUSED", f"{identity} started after it was refused as not run")
         since = runner.draining_since
         if since and now - since > DRAIN_LIMIT_S + 0.2 and self.undisturbed():
-            self.report_violation("DRAIN", f"{identity} began at {runner.identity} "
-                                           f"{now - since:.2f} s after")
+            self.report_violation("DRAIN", f"{identity} started at {runner.identity} "
+                                           f"{now - since:.2f} s after it began draining")
         if runner.model:
             self.check_weights(runner, identity, now)
 
     def check_weights(self, runner, identity, now):
         newer = [at for version, at in self.named_at.items() if version > runner.version]
         if newer and now - min(newer) > OUTDATED_WEIGHTS_LIMIT_S and self.undisturbed():
-            self.report_violation("VERSION", f"{identity} began on version {runner.version} at "
+            self.report_violation("VERSION", f"{identity} started on version {runner.version} at "
                                              f"{runner.identity}, {now - min(newer):.2f} s after "
-                                             "a newer one")
+                                             "a newer one was named")
         if runner.wrong_chunks:
-            self.report_violation("WHOLE", f"{identity} began at {runner.identity} on version "
+            self.report_violation("WHOLE", f"{identity} started at {runner.identity} on version "
                                   f"{runner.version} with wrong chunks {runner.wrong_chunks}"
                                   + self.timeline(runner))
-            runner.wrong_chunks = {}  # Told once for each start.
+            runner.wrong_chunks = {}  # Reported once for each activation.
 
     def timeline(self, runner):
         return "".join(f"\n      {at - self.started_at:8.3f} s {runner.name} {text}"
@@ -187,7 +192,7 @@
 
     @staticmethod
     def wrong_chunks(version, staged, corrupted_at):
-        """What an order to start `version` takes that is not its own, by chunk."""
+        """Returns the staged chunks that don't belong to `version`, with the reason, by number."""
         now = time.monotonic()
         wrong = {}
         for number in range(CHUNKS):
@@ -198,15 +203,15 @@
             if number not in staged:
                 wrong[number] = "missing"
             elif number in corrupted_at:
-                wrong[number] = f"bad for {now - corrupted_at[number]:.1f} s"
+                wrong[number] = f"corrupt for {now - corrupted_at[number]:.1f} s"
             else:
                 wrong[number] = "of another version"
         return wrong
 
     def on_engine_crash(self, target):
-        """An engine ends because it begins this request."""
+        """An engine crashed because it started a request for `target`."""
         now = time.monotonic()
-        self.count_outcome("engine", "ended under a request")
+        self.count_outcome("engine", "crashed under a request")
         crashes = self.crashes.setdefault(target, [])
         crashes.append(now)
         self.disturb_engines(0)
@@ -216,11 +221,11 @@
             return
         self.late_crashes[target] = self.late_crashes.get(target, 0) + 1
         if self.late_crashes[target] > TOLERATED_LATE_CRASHES:
-            self.report_violation("CRASH", f"{target} ended engine {len(crashes)}, "
+            self.report_violation("CRASH", f"{target} caused crash {len(crashes)}, "
                                            f"{now - crashes[CRASH_THRESHOLD - 1]:.1f} s after "
                                            "the third")
 
-    # ---- what callers see ----
+    # ---- observations of callers ----
 
     def on_sent(self, kind):
         service = "engines" if kind == "chat" else "plain"
@@ -228,7 +233,7 @@
 
     def on_response_timeout(self, identity):
         if self.all_undisturbed():
-            self.report_violation("CONFIG", f"{identity} had no answer in "
+            self.report_violation("CONFIG", f"{identity} got no response in "
                                             f"{DEADLINE_S + 2 * DEADLINE_TOLERANCE_S} s")
 
     def on_response_time(self, identity, seconds):
@@ -241,15 +246,15 @@
             if response.body != (own if kind == "chat" else identity.encode()):
                 self.report_violation("MIXED", f"{identity} got {response.body[:80]!r}")
         if not response.whole and self.all_undisturbed():
-            self.report_violation("LOST", f"{identity} was cut off with nothing disturbed")
+            self.report_violation("LOST", f"{identity} was interrupted without a fault")
         if response.body == b"quarantined" and not identity.startswith("killer"):
             self.report_violation("BYSTANDER",
-                                  f"{identity} was taken for a request that ends engines")
+                                  f"{identity} was quarantined but crashes no engine")
         if kind == "write" and response.status in (429, 503):
             self.refused_requests.add(identity)
             if self.start_counts.get(identity):
                 self.report_violation("REFUSED",
-                                      f"{identity} was answered {response.status} and had begun")
+                                      f"{identity} was refused with {response.status} but ran")
         if kind == "route":
             self.check_route(response, incarnation, version)
         elif response.status in (401, 404):
@@ -260,7 +265,7 @@
         if response.status == 404 and 1 < version <= newest \
                 and incarnation[1] == self.incarnations[incarnation[0]]:
             self.report_violation("CONFIG",
-                                  f"{incarnation} refused route {version}, in force before")
+                                  f"{incarnation} refused route {version}, which was in force")
         if response.status not in (404, 503):
             self.newest_route[incarnation] = max(newest, version)
 
--- a/tests/soak/soak_checks_test.py
+++ b/tests/soak/soak_checks_test.py
@@ -1,4 +1,4 @@
-"""The soak's checks catch what they are for: each is shown a history that breaks its rule."""
+"""Tests of the soak's checks: each must report a history that violates its rule."""
 
 import asyncio
 import random
@@ -23,7 +23,7 @@
 
 
 class HistoryTest(unittest.TestCase):
-    """A history in which nothing was disturbed for long."""
+    """A history that was undisturbed for long enough to check all bounds."""
 
     def setUp(self):
         self.checks = Checks()
@@ -55,7 +55,7 @@
         self.assertEqual(["MIXED"], self.violated_rules())
 
     def limited(self, rate, arrivals_s):
-        """A back end names a limit; requests come at these moments after it did."""
+        """A back end sends a limit; requests arrive so many seconds afterwards."""
         runner = SimpleNamespace(identity="e1")
         self.checks.on_limit_changed(runner, rate)
         self.checks.on_limit_sent(runner)
@@ -225,7 +225,7 @@
 
 
 class WholeCheckTest(HistoryTest):
-    """An engine takes an order; then a request begins there."""
+    """An engine takes a start order; then a request starts there."""
 
     def engine(self, orders=(2,), staged_version=2, prepare=lambda engine: None):
         self.checks.named_at[2] = time.monotonic()
@@ -300,7 +300,7 @@
 
 
 class EngineOrdersTest(HistoryTest):
-    """The stand-in's orders, as the protocol has them."""
+    """The engine stand-in handles start orders as the protocol specifies."""
 
     def run_steps(self, steps):
         engine = SoakEngine(self.checks, random.Random(1), "e1", "127.0.0.1", "m", 1)
--- a/tests/soak/soak_engine.py
+++ b/tests/soak/soak_engine.py
@@ -1,7 +1,8 @@
-"""Back ends of the soak: they tell the checks what they see, and engines can be troubled.
+"""Back ends of the soak: they report requests to the checks; engines can have faults.
 
-An engine is played as the protocol has it: an order takes what lies in the one staging place at that
-moment, ends what runs first, and takes nothing new until it serves the new weights.
+An engine stand-in follows the protocol: a start order activates the chunks that are staged when the
+order is taken. The engine finishes its running requests first and accepts no new ones until it
+serves the new weights.
 """
 
 import asyncio
@@ -9,15 +10,15 @@
 
 from platform_standin import Runner, answer, piece
 
-CHANGEOVER_S = 0.1  # As `warmS` in the stand-in's configuration.
-MAX_ORDER_DELAY_S = 12.0  # Orders without an answer were seen to be carried out 2.7 to 12 s later.
-MAX_ORDER_RESPONSE_S = 2.0  # Longer than an agent waits for an answer to an order (0.5 s).
-KILLER_TARGET = "/chat/killer-"  # What begins so ends the engine that begins it.
-MAX_TIMELINE_EVENTS = 400  # Ten versions' chunks and orders.
+CHANGEOVER_S = 0.1  # Same as `warmS` in the stand-in's configuration.
+MAX_ORDER_DELAY_S = 12.0  # Engines have carried out unanswered orders 2.7 to 12 s later.
+MAX_ORDER_RESPONSE_S = 2.0  # Longer than an agent waits for the response to an order (0.5 s).
+KILLER_TARGET = "/chat/killer-"  # Requests with this prefix crash the engine that starts them.
+MAX_TIMELINE_EVENTS = 400  # Enough for the chunks and orders of ten versions.
 
 
 class SoakRunner(Runner):
-    """Puts the request's id into what it answers, and tells the checks when each request begins."""
+    """Responds with the request's id and reports the start of each request to the checks."""
 
     def __init__(self, checks, service, *arguments):
         super().__init__(*arguments)
@@ -25,10 +26,10 @@
         self.service = service
         self.draining_since = None
         self.down = False
-        self.limit = None  # Requests a second that it takes of all gateways together.
+        self.limit = None  # Requests per second accepted from all gateways together.
 
     async def restart(self):
-        """Another incarnation at the same address."""
+        """Starts another incarnation at the same address."""
         self.identity += "x"
 
     async def run(self, writer, method, target, headers):
@@ -55,7 +56,7 @@
 
 
 class SoakEngine(SoakRunner):
-    """An engine with weights, one staging place and a sequence of orders."""
+    """An engine with weights, one staging area and a sequence number of orders."""
 
     def __init__(self, checks, random, *arguments):
         super().__init__(checks, "engines", *arguments)
@@ -64,16 +65,17 @@
         self.incarnation = 1
         self.running = 0
         self.busy = False
-        self.wrong_chunks = {}  # Of the weights that it serves: chunk and what is wrong with it.
-        self.corrupted_at = {}  # Chunk that turned bad where it lies, and when.
+        self.wrong_chunks = {}  # Of the served weights: chunk number and its defect.
+        self.corrupted_at = {}  # Staged chunks that were corrupted, with the time.
         self.order_fault = None
-        self.delayed_orders = 0  # Sent so far, whether taken meanwhile or not.
+        self.delayed_orders = 0  # Number of orders received so far to execute late.
         self.report_delay = 0.0
         self.timeline = []
-        self.platform = None  # Lists it anew after it ended under a request; set by the platform.
+        self.platform = None  # Registers it again after a crash; set by the platform.
         self.restart_tasks = []
-        self.never = asyncio.Event()  # Kept here: what waits for an event alone is collected with it.
-        self.tasks = set()  # Orders on their way, and a changeover.
+        # Referenced here because a task that waits for an unreferenced event is garbage-collected.
+        self.never = asyncio.Event()
+        self.tasks = set()  # Delayed orders, and an activation.
 
     def record_event(self, text):
         self.timeline.append((time.monotonic(), text))
@@ -94,11 +96,11 @@
         self.record_event(f"chunk {number} written, of version {versions or 'none'}")
 
     def corrupt(self, number):
-        """A chunk turns bad where it lies."""
+        """Corrupts a staged chunk."""
         if number in self.staged:
             self.staged[number] = b"x" + self.staged[number][:-1]
             self.corrupted_at[number] = time.monotonic()
-            self.record_event(f"chunk {number} turned bad")
+            self.record_event(f"chunk {number} corrupted")
 
     # ---- orders ----
 
@@ -111,8 +113,8 @@
         self.orders.append(order)
         self.busy = True
         wrong = self.checks.wrong_chunks(order["version"], self.staged, self.corrupted_at)
-        if wrong:  # A violation only when it serves a request.
-            self.checks.count_outcome("engine", "took a mixture")
+        if wrong:  # A violation only if the engine then serves a request.
+            self.checks.count_outcome("engine", "activated mixed weights")
         self.spawn(self.activate(order["version"], wrong))
         return 202
 
@@ -148,7 +150,7 @@
         else:
             self.delayed_orders += 1
             self.spawn(self.execute_later(order, self.random.uniform(0, MAX_ORDER_DELAY_S)))
-        await self.never.wait()  # This connection says nothing further.
+        await self.never.wait()  # No response is sent on this connection.
 
     async def answer_report(self, writer):
         report = self.report()
@@ -185,14 +187,14 @@
             if incarnation == self.incarnation:
                 self.running -= 1
 
-    # ---- lives ----
+    # ---- incarnations ----
 
     async def restart(self):
         await self.crash()
         await self.recover()
 
     async def run_killer(self, writer, target, headers):
-        """The request ends the engine that begins it; it is back a while later."""
+        """Crashes the engine, which starts this request; it recovers 0.3 to 1.5 s later."""
         if self.down or self.draining_since or self.busy or not self.version:
             self.refuse(writer, headers, 503)
             return
@@ -212,7 +214,7 @@
         self.down = False
 
     async def crash(self):
-        """Ends it with all that was under way; what was staged stays."""
+        """Ends the engine and all its work in progress; staged chunks are kept."""
         self.record_event("crashed")
         self.incarnation += 1
         for task in list(self.tasks):
@@ -220,9 +222,9 @@
         await self.stop()
 
     async def recover(self):
-        """Another incarnation: no layers, no orders taken."""
+        """Starts another incarnation, without layers and with no orders taken."""
         self.identity = f"{self.name}-{self.incarnation}"
         self.version, self.seq, self.running, self.busy = 0, 0, 0, False
         self.wrong_chunks = {}
         await self.start()
-        self.record_event(f"came back as {self.identity}, chunks staged {sorted(self.staged)}")
+        self.record_event(f"recovered as {self.identity}, chunks staged {sorted(self.staged)}")
--- a/tests/soak/soak_faults.py
+++ b/tests/soak/soak_faults.py
@@ -1,4 +1,4 @@
-"""What happens to the fleet: faults, and planned work."""
+"""Faults that the soak injects into the fleet, and planned work."""
 
 import asyncio
 import signal
@@ -13,14 +13,15 @@
           "agent_killed_at_order"]
 ENGINE_FAULTS = ["runner_trouble", "late_orders", "order_overtaken", "engine_crash", "bad_chunks",
                  "slow_reports", "engine_mute", "killer_request"]
-SLOW_REPORT_COUNT = 3  # Longer together than the 2.3 s for which an agent trusts what it read back.
-SLOW_REPORT_DELAY_S = 1.0  # The agent waits 0.6 s for a report.
-ORDER_TIMEOUT_S = 4.0  # A version is mostly ordered 1 to 3 s after its naming.
+#: Together longer than the 2.3 s for which an agent relies on the chunks that it read back.
+SLOW_REPORT_COUNT = 3
+SLOW_REPORT_DELAY_S = 1.0  # An agent waits 0.6 s for a load report.
+ORDER_TIMEOUT_S = 4.0  # Most versions are ordered 1 to 3 s after they are named.
 PLANNED = ["drain", "new_configurations", "new_weights", "weights_in_succession", "planned_stop"]
 
 
 class Faults:
-    """Each is a coroutine that ends what it began. Their draws are their own."""
+    """Each fault is a coroutine that also ends it. Faults have their own random generator."""
 
     def __init__(self, platform, checks, random):
         self.platform, self.checks, self.random = platform, checks, random
@@ -28,9 +29,9 @@
         self.injected = {}
         self.timeline = []
         self.stopping = set()
-        self.load = None  # Killers go on as long as it does; set by the soak.
+        self.load = None  # Killer requests are sent until its end; set by the soak.
         self.killer_tasks = []
-        self.enabled = FAULTS + ENGINE_FAULTS + PLANNED  # What is drawn from.
+        self.enabled = FAULTS + ENGINE_FAULTS + PLANNED  # The faults to choose from.
 
     def record(self, text, count=1):
         self.injected[text] = self.injected.get(text, 0) + count
@@ -84,7 +85,7 @@
         await self.impair_link(self.random.choice(list(self.platform.proxies.values())), duration)
 
     async def silent_links(self, duration):
-        """Open connections say nothing more; what was sent on them may wait for its deadline."""
+        """Silences open connections; requests sent on them may wait until their deadline."""
         self.checks.disturb(DEADLINE_S)
         where = self.random.choice(["store", "runner", "internal", "internal"])
         if where == "store":
@@ -95,7 +96,7 @@
             self.silence_internal()
 
     def silence_internal(self):
-        """Between a process of the system and all others."""
+        """Silences the connections between one process of the system and all others."""
         live = [process for group in (self.platform.gateways, self.platform.hosts)
                 for _, process in sorted(group.items()) if process.poll() is None]
         if not live:
@@ -114,7 +115,7 @@
         runner.mode = "whole"
 
     async def order_overtaken(self, duration):
-        """The next version is named while an order for the last one is on its way, twice."""
+        """Names the next version while an order for the previous one is delayed, twice."""
         engine = self.random.choice(self.platform.engines)
         engine.order_fault = "late"
         for _ in range(2):
@@ -125,7 +126,7 @@
         engine.order_fault = None
 
     async def late_orders(self, duration):
-        """Orders are taken late, or never, while one version is named after another."""
+        """Engines execute orders late or never, while versions are named in succession."""
         engines = self.random.sample(self.platform.engines, self.random.choice([1, 2, 3]))
         for engine in engines:
             engine.order_fault = self.random.choice(["late", "late", "lost", "answered late"])
@@ -138,13 +139,13 @@
             engine.order_fault = None
 
     async def agent_killed_at_order(self, duration):
-        """The agent ends while an order of its own is on its way, and knows nothing of it after."""
+        """Kills an agent while its order is delayed; its next incarnation has no record of it."""
         index = self.random.randrange(len(self.platform.engines))
         engine = self.platform.engines[index]
         engine.order_fault = "late"
         if await self.await_delayed_order(engine):
             self.checks.disturb(1.0)
-            engine.order_fault = "lost"  # What the agent's next life orders.
+            engine.order_fault = "lost"  # Applies to orders of the agent's next incarnation.
             process = self.platform.hosts[index]
             start_process = self.restart_function(self.platform.hosts, index, process)
             await self.stop_process(process, start_process, signal.SIGKILL, 0.0)
@@ -153,7 +154,7 @@
         engine.order_fault = None
 
     async def await_delayed_order(self, engine):
-        """Names a version and waits until an order for it is on its way; whether there is one."""
+        """Names a version and waits for a delayed order for it; returns whether one came."""
         before = engine.delayed_orders
         self.platform.name_weights()
         end = time.monotonic() + ORDER_TIMEOUT_S
@@ -162,7 +163,7 @@
         return engine.delayed_orders > before
 
     async def engine_mute(self, duration):
-        """An order is on its way, and the engine answers for its load too late now and then."""
+        """While an order is delayed, the engine sends some load reports too late."""
         engine = self.random.choice(self.platform.engines)
         engine.order_fault = "late"
         await self.await_delayed_order(engine)
@@ -176,7 +177,10 @@
         engine.order_fault = None
 
     async def engine_crash(self, duration):
-        """Often while a version is on its way; staged chunks are kept."""
+        """Crashes an engine, in half of the cases shortly after a version is named.
+
+        Staged chunks are kept.
+        """
         engine = self.random.choice(self.platform.engines)
         if engine.draining_since or engine.down:
             return
@@ -196,7 +200,7 @@
         self.platform.unregister(old)
 
     async def killer_request(self, duration):
-        """A request that ends the engine that begins it, again and again until the end of the run."""
+        """Sends a request that crashes the engine that starts it, repeatedly until the run ends."""
         target = f"{KILLER_TARGET}{len(self.killer_tasks) + 1}"
         for _ in range(self.random.choice([1, 1, 3])):
             self.killer_tasks.append(asyncio.create_task(self.send_killer(target)))
@@ -213,7 +217,7 @@
                     f"killer{target}-{id(asyncio.current_task())}-{attempts}"),
                     DEADLINE_S)
             except (OSError, IndexError, ValueError, asyncio.TimeoutError):
-                pass  # Its engine or gateway has ended.
+                pass  # Its engine crashed or its gateway was stopped.
             await asyncio.sleep(self.random.uniform(0.2, 0.8))
 
     async def bad_chunks(self, duration):
@@ -238,7 +242,7 @@
             else self.platform.start_host
 
         def start_process():
-            # Two faults may have ended the same process: it is started once.
+            # Two faults may have stopped the same process: start it only once.
             if group[key] is process:
                 start(key)
         return start_process
@@ -258,7 +262,7 @@
     async def stop_process(self, process, start_process, signal_number, duration):
         already_stopping = signal_number == signal.SIGTERM and process in self.stopping
         if process.poll() is not None or already_stopping:
-            return  # A second stop signal asks for an end at once.
+            return  # A second SIGTERM would request an immediate exit.
         if signal_number == signal.SIGTERM:
             self.stopping.add(process)
         process.send_signal(signal_number)
@@ -272,7 +276,7 @@
         self.checks.disturb(1.0)
 
     async def kill_group(self, duration):
-        """All gateways or all agents, at once or in turn."""
+        """Kills all gateways or all agents, at once or one after the other."""
         group = self.random_group()
         gap = self.random.choice([0.0, 0.0, duration / len(group)])
         stops = []
--- a/tests/soak/soak_fleet.py
+++ b/tests/soak/soak_fleet.py
@@ -1,4 +1,4 @@
-"""The soak's fleet: three gateways, three agents, the store and all back ends behind proxies."""
+"""The soak's fleet: three gateways, three agents, and the store and back ends behind proxies."""
 
 import asyncio
 import os
@@ -18,7 +18,7 @@
 
 
 class SoakPlatform(platform_test.Platform):
-    """The processes, and the outside that they meet."""
+    """The processes of the system, with stand-ins for the store, the origin and the back ends."""
 
     def __init__(self, folder, checks, random):
         super().__init__(folder)
@@ -29,7 +29,7 @@
         self.hosts = {}
 
     def suspend_when_frozen(self):
-        """A process that is frozen takes its machine for suspended: its steady clock stands still."""
+        """Stops the steady clock of frozen processes, as on a suspended machine."""
         library = self.folder / "suspended_clock.so"
         source = Path(__file__).with_name("suspended_clock.c")
         subprocess.run(["cc", "-shared", "-fPIC", "-O1", "-o", library, source], check=True)
@@ -78,7 +78,7 @@
     def start_host(self, index):
         runner = self.engines[index]
         engine_port, store = runner.port, self.store
-        # The agent takes the engine and the store where the proxies are.
+        # The agent connects to the engine and the store through their proxies.
         runner.port, self.store = self.proxies[runner].port, self.store_proxy
         self.hosts[index] = self.run_host(index, runner)
         runner.port, self.store = engine_port, store
@@ -111,7 +111,7 @@
         self.checks.incarnations[host] = self.checks.incarnations.get(host, 0) + 1
 
     def launch(self, name, program, settings, stdout=None):
-        """Later lives of a process add to its log."""
+        """Starts a process; its later incarnations append to the same log."""
         output = stdout or open(self.folder / f"{name}.log", "ab")
         return super().launch(name, program, settings, output)
 
--- a/tests/soak/soak_limits.py
+++ b/tests/soak/soak_limits.py
@@ -1,27 +1,27 @@
-"""Back ends that name how many requests a second they take of all gateways together."""
+"""Rate limits that back ends set for all gateways together during the soak."""
 
 import asyncio
 
-RATES = ["0.5", "1", "2", "5.5", "10"]  # Requests a second.
-MAX_LIMIT_DURATION_S = 9.0  # For which one limit is named; some windows of the check fit in.
+RATES = ["0.5", "1", "2", "5.5", "10"]  # Requests per second.
+MAX_LIMIT_DURATION_S = 9.0  # Some windows of the check fit into this time.
 
 
 class Limits:
-    """Names and lifts limits beside whatever else is played. Its draws are its own."""
+    """Sets and removes limits, independently of the faults and with its own random generator."""
 
     def __init__(self, platform, checks, random):
         self.platform, self.checks, self.random = platform, checks, random
         self.limits_set = 0
 
     async def run(self):
-        """Until cancelled; limits that are named then stay."""
+        """Runs until cancelled; limits that are set then remain."""
         while True:
             await asyncio.sleep(self.random.uniform(0.3, 1.5))
             runners = self.choose_runners()
             for runner in runners:
                 self.set_limit(runner, self.random.choice(RATES))
             await asyncio.sleep(self.random.uniform(2.0, MAX_LIMIT_DURATION_S))
-            if self.random.random() < 0.3:  # Another limit follows at once.
+            if self.random.random() < 0.3:  # The next limit may replace it.
                 continue
             self.remove_limits(runners)
 
--- a/tests/soak/soak_load.py
+++ b/tests/soak/soak_load.py
@@ -1,4 +1,4 @@
-"""Callers of the soak: each asks a gateway for something and tells the checks what came back."""
+"""Callers of the soak: they send requests to gateways and report the responses to the checks."""
 
 import asyncio
 import time
@@ -11,7 +11,7 @@
 
 
 class Load:
-    """Requests of all kinds, until `end`."""
+    """Sends requests of all kinds until `end`."""
 
     def __init__(self, platform, checks, random):
         self.platform, self.checks, self.random = platform, checks, random
@@ -42,9 +42,9 @@
                 self.platform.call_gateway(host, method, target, identity), limit)
         except asyncio.TimeoutError:
             checks.on_response_timeout(identity)
-            return checks.count_outcome(kind, "no answer")
+            return checks.count_outcome(kind, "no response")
         except (OSError, IndexError, ValueError):
             return checks.count_outcome(kind, "closed")
         checks.on_response_time(identity, time.monotonic() - started_at)
         checks.check_response(kind, identity, response, incarnation, version)
-        return checks.count_outcome(kind, str(response.status) if response.whole else "cut")
+        return checks.count_outcome(kind, str(response.status) if response.whole else "interrupted")
--- a/tests/soak/suspended_clock.c
+++ b/tests/soak/suspended_clock.c
@@ -1,6 +1,7 @@
-/* Makes a process that stood still believe that its machine was suspended: CLOCK_MONOTONIC stands
- * still with it, CLOCK_BOOTTIME runs on. Loaded by the soak into the processes that it freezes.
- * A process of the system reads the clock at least every 0.1 s while it runs. */
+/* Simulates a suspended machine for a process that was stopped: CLOCK_MONOTONIC does not advance
+ * while the process is stopped, CLOCK_BOOTTIME does. The soak preloads this into the processes
+ * that it freezes. A running process of the system reads the clock at least every 0.1 s, so a gap
+ * of more than 0.25 s between two readings counts as a stop. */
 #define _GNU_SOURCE
 #include <sys/syscall.h>
 #include <time.h>
