--- a/tests/soak/fault_soak.py
+++ b/tests/soak/fault_soak.py
@@ -76,7 +76,7 @@
         await self.inject_faults()
         await self.wait_until_undisturbed()
         await self.run_planned_work()
-        await asyncio.gather(*callers, *self.faults.killer_tasks)
+        await asyncio.gather(*callers, *self.faults.crashing_request_tasks)
         if limits:
             limits.cancel()
             self.limits.remove_all_limits()
--- a/tests/soak/soak_checks.py
+++ b/tests/soak/soak_checks.py
@@ -28,30 +28,30 @@
 
 
 class RetryCount:
-    """Counts requests for one service, and their repeats: arrivals after the first of each."""
+    """Counts requests for one service, and their retries: arrivals after the first of each."""
 
     def __init__(self):
         self.requests = []
-        self.repeats = []
+        self.retries = []
         self.seen = set()
 
     def on_arrival(self, identity, now):
-        """Records an arrival; returns whether it is a repeat."""
+        """Records an arrival; returns whether it is a retry."""
         if identity not in self.seen:
             self.seen.add(identity)
             return False
-        self.repeats.append(now)
+        self.retries.append(now)
         return True
 
     @staticmethod
     def count_within(times, end):
         return bisect_right(times, end) - bisect_left(times, end - RETRY_WINDOW_S)
 
-    def repeats_and_limit(self, now):
-        """Returns the number of repeats in the window that ends now, and the allowed number."""
+    def retries_and_limit(self, now):
+        """Returns the number of retries in the window that ends now, and the allowed number."""
         requests = max(self.count_within(self.requests, now - shift * RETRY_WINDOW_S)
                        for shift in (0, 0.5, 1))
-        return self.count_within(self.repeats, now), RETRY_RATIO * requests + RETRY_EXTRA
+        return self.count_within(self.retries, now), RETRY_RATIO * requests + RETRY_EXTRA
 
 
 class LimitCount:
@@ -84,7 +84,7 @@
         self.refused_requests = set()  # Non-repeatable requests that were refused as not run.
         self.newest_route = {}  # By (gateway, incarnation): the newest route that was in force.
         self.named_at = {1: 0.0}
-        self.retries = {"engines": RetryCount(), "plain": RetryCount()}
+        self.retry_counts = {"engines": RetryCount(), "plain": RetryCount()}
         self.crashes = {}  # By target: times at which it crashed engines.
         self.late_crashes = {}  # By target: crashes after all gateways must know the third.
         self.limits = {}  # By identity of the back end: its current limit.
@@ -131,12 +131,12 @@
 
     def on_arrival(self, service, identity):
         now = time.monotonic()
-        count = self.retries[service]
+        count = self.retry_counts[service]
         if not count.on_arrival(identity, now):
             return
-        repeats, allowed = count.repeats_and_limit(now)
-        if repeats > allowed:
-            self.report_violation("BUDGET", f"{repeats} repeats at {service} in "
+        retries, allowed = count.retries_and_limit(now)
+        if retries > allowed:
+            self.report_violation("BUDGET", f"{retries} retries at {service} in "
                                             f"{RETRY_WINDOW_S} s, {allowed:.1f} allowed")
 
     def on_limit_changed(self, runner, rate):
@@ -229,7 +229,7 @@
 
     def on_sent(self, kind):
         service = "engines" if kind == "chat" else "plain"
-        self.retries[service].requests.append(time.monotonic())
+        self.retry_counts[service].requests.append(time.monotonic())
 
     def on_response_timeout(self, identity):
         if self.all_undisturbed():
--- a/tests/soak/soak_checks_test.py
+++ b/tests/soak/soak_checks_test.py
@@ -185,15 +185,15 @@
         for _ in range(times):
             self.checks.on_arrival("engines", "chat-1")
 
-    def test_as_many_repeats_as_allowed(self):
+    def test_as_many_retries_as_allowed(self):
         self.arrive(1 + RETRY_EXTRA)
         self.assertEqual([], self.violated_rules())
 
-    def test_one_repeat_too_many(self):
+    def test_one_retry_too_many(self):
         self.arrive(1 + RETRY_EXTRA + 1)
         self.assertEqual(["BUDGET"], self.violated_rules())
 
-    def test_requests_earn_repeats(self):
+    def test_requests_earn_retries(self):
         for _ in range(10):
             self.checks.on_sent("chat")
         self.arrive(1 + RETRY_EXTRA + 2)
@@ -201,21 +201,21 @@
         self.arrive(1)
         self.assertEqual(["BUDGET"], self.violated_rules())
 
-    def test_requests_for_another_service_earn_no_repeats(self):
+    def test_requests_for_another_service_earn_no_retries(self):
         for _ in range(10):
             self.checks.on_sent("read")
         self.arrive(1 + RETRY_EXTRA + 1)
         self.assertEqual(["BUDGET"], self.violated_rules())
 
-    def test_repeats_of_an_earlier_window_do_not_count(self):
+    def test_retries_of_an_earlier_window_do_not_count(self):
         self.arrive(1 + RETRY_EXTRA)
-        repeats = self.checks.retries["engines"].repeats
-        repeats[:] = [at - RETRY_WINDOW_S - 1 for at in repeats]
+        retries = self.checks.retry_counts["engines"].retries
+        retries[:] = [at - RETRY_WINDOW_S - 1 for at in retries]
         self.arrive(RETRY_EXTRA)
         self.assertEqual([], self.violated_rules())
 
     def test_requests_of_the_window_before_count(self):
-        requests = self.checks.retries["engines"].requests
+        requests = self.checks.retry_counts["engines"].requests
         requests += [time.monotonic() - RETRY_WINDOW_S - 1] * 10
         self.arrive(1 + RETRY_EXTRA + 2)
         self.assertEqual([], self.violated_rules())
@@ -236,7 +236,7 @@
                 engine.stage(number, piece(staged_version, number))
             prepare(engine)
             for version in orders:
-                engine.take_and_record({"version": version}, "answered")
+                engine.activate_and_record({"version": version}, "answered")
                 while engine.busy:
                     await asyncio.sleep(0.01)
         asyncio.run(run_orders())
--- a/tests/soak/soak_engine.py
+++ b/tests/soak/soak_engine.py
@@ -13,7 +13,7 @@
 CHANGEOVER_S = 0.1  # Same as `warmS` in the stand-in's configuration.
 MAX_ORDER_DELAY_S = 12.0  # Engines have carried out unanswered orders 2.7 to 12 s later.
 MAX_ORDER_RESPONSE_S = 2.0  # Longer than an agent waits for the response to an order (0.5 s).
-KILLER_TARGET = "/chat/killer-"  # Requests with this prefix crash the engine that starts them.
+CRASHING_TARGET = "/chat/killer-"  # Requests with this prefix crash the engine that starts them.
 MAX_TIMELINE_EVENTS = 400  # Enough for the chunks and orders of ten versions.
 
 
@@ -115,16 +115,16 @@
         wrong = self.checks.wrong_chunks(order["version"], self.staged, self.corrupted_at)
         if wrong:  # A violation only if the engine then serves a request.
             self.checks.count_outcome("engine", "activated mixed weights")
-        self.spawn(self.activate(order["version"], wrong))
+        self.spawn(self.finish_activation(order["version"], wrong))
         return 202
 
-    def take_and_record(self, order, how):
+    def activate_and_record(self, order, how):
         status = self.take(order)
         self.record_event(f"order to start version {order['version']}, expectedRev "
                   f"{order.get('expectedRev')}, {how}: {status}, seq {self.seq}")
         return status
 
-    async def activate(self, version, wrong):
+    async def finish_activation(self, version, wrong):
         while self.running:
             await asyncio.sleep(0.01)
         await asyncio.sleep(CHANGEOVER_S)
@@ -133,15 +133,15 @@
 
     async def execute_later(self, order, delay):
         await asyncio.sleep(delay)
-        self.take_and_record(order, f"{delay:.2f} s late, not answered")
+        self.activate_and_record(order, f"{delay:.2f} s late, not answered")
 
     async def answer_order(self, writer, order):
         fault = self.order_fault
         if fault is None:
-            answer(writer, self.take_and_record(order, "answered"))
+            answer(writer, self.activate_and_record(order, "answered"))
             return
         if fault == "answered late":
-            status = self.take_and_record(order, "answered late")
+            status = self.activate_and_record(order, "answered late")
             await asyncio.sleep(self.random.uniform(0, MAX_ORDER_RESPONSE_S))
             answer(writer, status)
             return
@@ -163,8 +163,8 @@
     # ---- requests ----
 
     async def run(self, writer, method, target, headers):
-        if target.startswith(KILLER_TARGET):
-            await self.run_killer(writer, target, headers)
+        if target.startswith(CRASHING_TARGET):
+            await self.run_crashing_request(writer, target, headers)
             return
         expected_version = int(headers.get("x-pumicemast-expect-version", 0))
         if self.version == 0 or expected_version not in (0, self.version):
@@ -193,7 +193,7 @@
         await self.crash()
         await self.recover()
 
-    async def run_killer(self, writer, target, headers):
+    async def run_crashing_request(self, writer, target, headers):
         """Crashes the engine, which starts this request; it recovers 0.3 to 1.5 s later."""
         if self.down or self.draining_since or self.busy or not self.version:
             self.refuse(writer, headers, 503)
--- a/tests/soak/soak_faults.py
+++ b/tests/soak/soak_faults.py
@@ -6,7 +6,7 @@
 
 import silent_sockets
 from soak_checks import DEADLINE_S, DRAIN_LIMIT_S
-from soak_engine import KILLER_TARGET
+from soak_engine import CRASHING_TARGET
 from soak_fleet import GATEWAYS
 
 FAULTS = ["store_trouble", "runner_link", "freeze", "kill", "kill_group", "silent_links",
@@ -29,8 +29,8 @@
         self.injected = {}
         self.timeline = []
         self.stopping = set()
-        self.load = None  # Killer requests are sent until its end; set by the soak.
-        self.killer_tasks = []
+        self.load = None  # Crashing requests are sent until its end; set by the soak.
+        self.crashing_request_tasks = []
         self.enabled = FAULTS + ENGINE_FAULTS + PLANNED  # The faults to choose from.
 
     def record(self, text, count=1):
@@ -201,12 +201,13 @@
 
     async def killer_request(self, duration):
         """Sends a request that crashes the engine that starts it, repeatedly until the run ends."""
-        target = f"{KILLER_TARGET}{len(self.killer_tasks) + 1}"
+        target = f"{CRASHING_TARGET}{len(self.crashing_request_tasks) + 1}"
         for _ in range(self.random.choice([1, 1, 3])):
-            self.killer_tasks.append(asyncio.create_task(self.send_killer(target)))
+            self.crashing_request_tasks.append(
+                asyncio.create_task(self.send_crashing_request(target)))
         await asyncio.sleep(duration)
 
-    async def send_killer(self, target):
+    async def send_crashing_request(self, target):
         attempts = 0
         while time.monotonic() < self.load.end:
             attempts += 1
