--- a/tests/soak/soak_checks.py
+++ b/tests/soak/soak_checks.py
@@ -139,56 +139,56 @@
             self.report_violation("BUDGET", f"{retries} retries at {service} in "
                                             f"{RETRY_WINDOW_S} s, {allowed:.1f} allowed")
 
-    def on_limit_changed(self, runner, rate):
+    def on_limit_changed(self, backend, rate):
         """The back end sets another limit from now on, or none."""
-        self.limits.pop(runner.identity, None)
+        self.limits.pop(backend.identity, None)
         if rate is not None:
-            self.limits[runner.identity] = LimitCount(rate)
+            self.limits[backend.identity] = LimitCount(rate)
 
-    def on_limit_sent(self, runner):
-        count = self.limits.get(runner.identity)
+    def on_limit_sent(self, backend):
+        count = self.limits.get(backend.identity)
         if count and count.first_sent_at is None:
             count.first_sent_at = time.monotonic()
 
-    def on_limited_arrival(self, runner):
-        count = self.limits.get(runner.identity)
+    def on_limited_arrival(self, backend):
+        count = self.limits.get(backend.identity)
         if not count:
             return
         arrived, allowed = count.on_arrival(time.monotonic()), count.allowed(self.undisturbed())
         if arrived > allowed:
-            self.report_violation("LIMIT", f"{runner.identity} got {arrived} requests in "
+            self.report_violation("LIMIT", f"{backend.identity} got {arrived} requests in "
                                            f"{LIMIT_WINDOW_S} s, {allowed:.1f} allowed by its "
                                            f"limit of {count.rate} a second")
 
-    def on_request_started(self, runner, identity):
+    def on_request_started(self, backend, identity):
         self.start_counts[identity] = self.start_counts.get(identity, 0) + 1
         now = time.monotonic()
         if identity.startswith("write") and self.start_counts[identity] > 1:
             self.report_violation("TWICE", f"{identity} ran {self.start_counts[identity]} times")
         if identity in self.refused_requests:
             self.report_violation("REFUSED", f"{identity} started after it was refused as not run")
-        since = runner.draining_since
+        since = backend.draining_since
         if since and now - since > DRAIN_LIMIT_S + 0.2 and self.undisturbed():
-            self.report_violation("DRAIN", f"{identity} started at {runner.identity} "
+            self.report_violation("DRAIN", f"{identity} started at {backend.identity} "
                                            f"{now - since:.2f} s after it began draining")
-        if runner.model:
-            self.check_weights(runner, identity, now)
+        if backend.model:
+            self.check_weights(backend, identity, now)
 
-    def check_weights(self, runner, identity, now):
-        newer = [at for version, at in self.named_at.items() if version > runner.version]
+    def check_weights(self, backend, identity, now):
+        newer = [at for version, at in self.named_at.items() if version > backend.version]
         if newer and now - min(newer) > OUTDATED_WEIGHTS_LIMIT_S and self.undisturbed():
-            self.report_violation("VERSION", f"{identity} started on version {runner.version} at "
-                                             f"{runner.identity}, {now - min(newer):.2f} s after "
+            self.report_violation("VERSION", f"{identity} started on version {backend.version} at "
+                                             f"{backend.identity}, {now - min(newer):.2f} s after "
                                              "a newer one was named")
-        if runner.wrong_chunks:
-            self.report_violation("WHOLE", f"{identity} started at {runner.identity} on version "
-                                  f"{runner.version} with wrong chunks {runner.wrong_chunks}"
-                                  + self.timeline(runner))
-            runner.wrong_chunks = {}  # Reported once for each activation.
-
-    def timeline(self, runner):
-        return "".join(f"\n      {at - self.started_at:8.3f} s {runner.name} {text}"
-                       for at, text in runner.timeline[-REPORTED_TIMELINE_EVENTS:])
+        if backend.wrong_chunks:
+            self.report_violation("WHOLE", f"{identity} started at {backend.identity} on version "
+                                  f"{backend.version} with wrong chunks {backend.wrong_chunks}"
+                                  + self.timeline(backend))
+            backend.wrong_chunks = {}  # Reported once for each activation.
+
+    def timeline(self, backend):
+        return "".join(f"\n      {at - self.started_at:8.3f} s {backend.name} {text}"
+                       for at, text in backend.timeline[-REPORTED_TIMELINE_EVENTS:])
 
     @staticmethod
     def wrong_chunks(version, staged, corrupted_at):
--- a/tests/soak/soak_checks_test.py
+++ b/tests/soak/soak_checks_test.py
@@ -34,7 +34,7 @@
     def violated_rules(self):
         return [violation.split(" s ")[1].split(":")[0] for violation in self.checks.violations]
 
-    def runner(self, model="m", version=1, draining_since=None, wrong_chunks=None):
+    def backend(self, model="m", version=1, draining_since=None, wrong_chunks=None):
         return SimpleNamespace(identity="e1", name="e1", model=model, version=version, timeline=[],
                                draining_since=draining_since, wrong_chunks=wrong_chunks or {})
 
@@ -45,7 +45,7 @@
 
 class SoakChecksTest(HistoryTest):
     def test_a_correct_history_violates_nothing(self):
-        self.checks.on_request_started(self.runner(), "write-1")
+        self.checks.on_request_started(self.backend(), "write-1")
         self.check("write", "write-1", body=b"write-1")
         self.check("write", "write-2", status=503)
         self.assertEqual([], self.violated_rules())
@@ -56,13 +56,13 @@
 
     def limited(self, rate, arrivals_s):
         """A back end sends a limit; requests arrive so many seconds afterwards."""
-        runner = SimpleNamespace(identity="e1")
-        self.checks.on_limit_changed(runner, rate)
-        self.checks.on_limit_sent(runner)
+        backend = SimpleNamespace(identity="e1")
+        self.checks.on_limit_changed(backend, rate)
+        self.checks.on_limit_sent(backend)
         first_sent_at = self.checks.limits["e1"].first_sent_at
         for moment in arrivals_s:
             with mock.patch.object(time, "monotonic", lambda: first_sent_at + moment):
-                self.checks.on_limited_arrival(runner)
+                self.checks.on_limited_arrival(backend)
 
     def test_more_requests_than_a_back_ends_limit(self):
         every_fifth = [LIMIT_PROPAGATION_S + 0.2 * number for number in range(30)]
@@ -83,48 +83,48 @@
         self.assertEqual(["LIMIT"], self.violated_rules())
 
     def test_a_second_run(self):
-        self.checks.on_request_started(self.runner(), "write-1")
-        self.checks.on_request_started(self.runner(), "write-1")
+        self.checks.on_request_started(self.backend(), "write-1")
+        self.checks.on_request_started(self.backend(), "write-1")
         self.assertEqual(["TWICE"], self.violated_rules())
 
     def test_a_run_before_and_after_a_refusal(self):
-        self.checks.on_request_started(self.runner(), "write-1")
+        self.checks.on_request_started(self.backend(), "write-1")
         self.check("write", "write-1", status=503)
         self.check("write", "write-2", status=429)
-        self.checks.on_request_started(self.runner(), "write-2")
+        self.checks.on_request_started(self.backend(), "write-2")
         self.assertEqual(["REFUSED", "REFUSED"], self.violated_rules())
 
     def test_a_run_at_a_draining_back_end(self):
         since = time.monotonic() - DRAIN_LIMIT_S - 1
-        self.checks.on_request_started(self.runner(draining_since=since), "read-1")
+        self.checks.on_request_started(self.backend(draining_since=since), "read-1")
         self.assertEqual(["DRAIN"], self.violated_rules())
 
     def test_a_run_on_older_weights(self):
         self.checks.named_at[2] = time.monotonic() - OUTDATED_WEIGHTS_LIMIT_S - 1
-        self.checks.on_request_started(self.runner(version=1), "chat-1")
+        self.checks.on_request_started(self.backend(version=1), "chat-1")
         self.assertEqual(["VERSION"], self.violated_rules())
 
     def test_a_run_on_older_weights_within_the_bound_or_on_the_newest(self):
         self.checks.named_at[2] = time.monotonic() - OUTDATED_WEIGHTS_LIMIT_S - 1
         self.checks.named_at[3] = time.monotonic() - OUTDATED_WEIGHTS_LIMIT_S + 1
-        self.checks.on_request_started(self.runner(version=2), "chat-1")
-        self.checks.on_request_started(self.runner(version=3), "chat-2")
+        self.checks.on_request_started(self.backend(version=2), "chat-1")
+        self.checks.on_request_started(self.backend(version=3), "chat-2")
         self.assertEqual([], self.violated_rules())
 
     def test_each_naming_has_its_own_bound(self):
         self.checks.named_at[2] = time.monotonic() - OUTDATED_WEIGHTS_LIMIT_S - 1
         self.checks.named_at[3] = time.monotonic()
-        self.checks.on_request_started(self.runner(version=1), "chat-1")
+        self.checks.on_request_started(self.backend(version=1), "chat-1")
         self.assertEqual(["VERSION"], self.violated_rules())
 
     def test_bounds_are_waived_only_while_something_is_disturbed(self):
         self.checks.disturb(0)
         since = time.monotonic() - DRAIN_LIMIT_S - 1
-        self.checks.on_request_started(self.runner(draining_since=since), "read-1")
+        self.checks.on_request_started(self.backend(draining_since=since), "read-1")
         self.check("chat", "chat-1", whole=False)
         self.assertEqual([], self.violated_rules())
-        self.checks.on_request_started(self.runner(), "write-1")
-        self.checks.on_request_started(self.runner(), "write-1")
+        self.checks.on_request_started(self.backend(), "write-1")
+        self.checks.on_request_started(self.backend(), "write-1")
         self.assertEqual(["TWICE"], self.violated_rules())
 
     def test_faults_of_back_ends_excuse_nothing_that_gateways_do(self):
@@ -132,17 +132,17 @@
         self.check("chat", "chat-1", whole=False)
         self.assertEqual([], self.violated_rules())
         since = time.monotonic() - DRAIN_LIMIT_S - 1
-        self.checks.on_request_started(self.runner(draining_since=since), "read-1")
+        self.checks.on_request_started(self.backend(draining_since=since), "read-1")
         self.checks.named_at[2] = time.monotonic() - OUTDATED_WEIGHTS_LIMIT_S - 1
-        self.checks.on_request_started(self.runner(version=1), "chat-2")
+        self.checks.on_request_started(self.backend(version=1), "chat-2")
         self.assertEqual(["DRAIN", "VERSION"], self.violated_rules())
 
     def test_a_stall_of_the_stand_ins_excuses_only_interrupted_responses(self):
         self.checks.last_heartbeat = time.monotonic() - HARNESS_STALL_S - 0.1
         self.check("chat", "chat-1", whole=False)
         self.assertEqual([], self.violated_rules())
-        self.checks.on_request_started(self.runner(), "write-1")
-        self.checks.on_request_started(self.runner(), "write-1")
+        self.checks.on_request_started(self.backend(), "write-1")
+        self.checks.on_request_started(self.backend(), "write-1")
         self.assertEqual(["TWICE"], self.violated_rules())
 
     def test_running_stand_ins_excuse_nothing(self):
--- a/tests/soak/soak_engine.py
+++ b/tests/soak/soak_engine.py
@@ -17,7 +17,7 @@
 MAX_TIMELINE_EVENTS = 400  # Enough for the chunks and orders of ten versions.
 
 
-class SoakRunner(Runner):
+class SoakBackend(Runner):
     """Responds with the request's id and reports the start of each request to the checks."""
 
     def __init__(self, checks, service, *arguments):
@@ -55,7 +55,7 @@
         return f"id: {number}\ndata: {identity} {number}\n\n".encode()
 
 
-class SoakEngine(SoakRunner):
+class SoakEngine(SoakBackend):
     """An engine with weights, one staging area and a sequence number of orders."""
 
     def __init__(self, checks, random, *arguments):
--- a/tests/soak/soak_faults.py
+++ b/tests/soak/soak_faults.py
@@ -50,7 +50,7 @@
     def inject_random(self):
         return self.inject(self.random.choice(self.enabled), self.random.uniform(0.3, 3.0))
 
-    def random_runner(self):
+    def random_backend(self):
         return self.random.choice(self.platform.plain + self.platform.engines)
 
     # ---- links and the store ----
@@ -109,10 +109,10 @@
     # ---- back ends ----
 
     async def runner_trouble(self, duration):
-        runner = self.random_runner()
-        runner.mode = self.random.choice(["shed", "lost", "break"])
+        backend = self.random_backend()
+        backend.mode = self.random.choice(["shed", "lost", "break"])
         await asyncio.sleep(duration)
-        runner.mode = "whole"
+        backend.mode = "whole"
 
     async def order_overtaken(self, duration):
         """Names the next version while an order for the previous one is delayed, twice."""
@@ -296,17 +296,17 @@
         await self.stop_process(*self.random_process(), signal.SIGTERM, duration)
 
     async def drain(self, duration):
-        runner = self.random_runner()
-        if runner.draining_since or runner.down:
+        backend = self.random_backend()
+        if backend.draining_since or backend.down:
             return
-        self.platform.register(runner, runner.service, state="draining")
-        runner.draining_since = time.monotonic()
+        self.platform.register(backend, backend.service, state="draining")
+        backend.draining_since = time.monotonic()
         await asyncio.sleep(DRAIN_LIMIT_S + duration)
-        self.platform.unregister(runner.identity)
+        self.platform.unregister(backend.identity)
         await asyncio.sleep(0.5)
-        await runner.restart()
-        runner.draining_since = None
-        self.platform.register(runner, runner.service)
+        await backend.restart()
+        backend.draining_since = None
+        self.platform.register(backend, backend.service)
 
     async def new_configurations(self, duration):
         for _ in range(self.random.choice([1, 1, 20])):
--- a/tests/soak/soak_fleet.py
+++ b/tests/soak/soak_fleet.py
@@ -11,7 +11,7 @@
 from loopback_proxy import LoopbackProxy
 from platform_standin import Origin, Store
 from soak_checks import DEADLINE_S, RETRY_EXTRA, RETRY_RATIO, OUTDATED_WEIGHTS_LIMIT_S
-from soak_engine import SoakEngine, SoakRunner
+from soak_engine import SoakEngine, SoakBackend
 
 GATEWAYS = ["127.0.0.21", "127.0.0.22", "127.0.0.23"]
 ENGINES = ["127.0.0.11", "127.0.0.12", "127.0.0.13"]
@@ -37,7 +37,7 @@
 
     async def start(self):
         self.store, self.origin = Store(), Origin()
-        self.plain = [SoakRunner(self.checks, "plain", f"p{n}") for n in (1, 2)]
+        self.plain = [SoakBackend(self.checks, "plain", f"p{n}") for n in (1, 2)]
         self.engines = [SoakEngine(self.checks, self.random, f"e{n}", host, "m", 1)
                         for n, host in enumerate(ENGINES, 1)]
         for engine in self.engines:
@@ -45,13 +45,13 @@
         for server in [self.store, self.origin, *self.plain, *self.engines]:
             await server.start()
         self.store_proxy = await self.proxy("127.0.0.1", self.store)
-        self.proxies = {runner: await self.proxy(runner.host, runner)
-                        for runner in self.plain + self.engines}
+        self.proxies = {backend: await self.proxy(backend.host, backend)
+                        for backend in self.plain + self.engines}
         self.internal = platform_test.free_port()
         self.ports = {host: [platform_test.free_port() for _ in range(3)] for host in GATEWAYS}
         self.configure(self.version)
-        for runner in self.plain + self.engines:
-            self.register(runner, runner.service)
+        for backend in self.plain + self.engines:
+            self.register(backend, backend.service)
         self.store.put("versions", "m", {"model": "m", "version": 1})
         for index in range(len(ENGINES)):
             self.start_host(index)
@@ -66,9 +66,9 @@
         await proxy.start()
         return proxy
 
-    def register(self, runner, service, state="ready"):
-        self.store.put("servers", runner.identity, {
-            "service": service, "address": f"{runner.host}:{self.proxies[runner].port}",
+    def register(self, backend, service, state="ready"):
+        self.store.put("servers", backend.identity, {
+            "service": service, "address": f"{backend.host}:{self.proxies[backend].port}",
             "zone": "z1", "slots": 4, "state": state, "models": [], "layers": None})
 
     def unregister(self, identity):
@@ -76,12 +76,12 @@
             self.store.delete("servers", identity)
 
     def start_host(self, index):
-        runner = self.engines[index]
-        engine_port, store = runner.port, self.store
+        backend = self.engines[index]
+        engine_port, store = backend.port, self.store
         # The agent connects to the engine and the store through their proxies.
-        runner.port, self.store = self.proxies[runner].port, self.store_proxy
-        self.hosts[index] = self.run_host(index, runner)
-        runner.port, self.store = engine_port, store
+        backend.port, self.store = self.proxies[backend].port, self.store_proxy
+        self.hosts[index] = self.run_host(index, backend)
+        backend.port, self.store = engine_port, store
 
     def start_gateway(self, host):
         callers, ready, metrics = self.ports[host]
--- a/tests/soak/soak_limits.py
+++ b/tests/soak/soak_limits.py
@@ -17,27 +17,27 @@
         """Runs until cancelled; limits that are set then remain."""
         while True:
             await asyncio.sleep(self.random.uniform(0.3, 1.5))
-            runners = self.choose_runners()
-            for runner in runners:
-                self.set_limit(runner, self.random.choice(RATES))
+            backends = self.choose_backends()
+            for backend in backends:
+                self.set_limit(backend, self.random.choice(RATES))
             await asyncio.sleep(self.random.uniform(2.0, MAX_LIMIT_DURATION_S))
             if self.random.random() < 0.3:  # The next limit may replace it.
                 continue
-            self.remove_limits(runners)
+            self.remove_limits(backends)
 
-    def choose_runners(self):
+    def choose_backends(self):
         group = self.random.choice([self.platform.engines, self.platform.plain])
         return group if self.random.random() < 0.4 else [self.random.choice(group)]
 
-    def set_limit(self, runner, rate):
+    def set_limit(self, backend, rate):
         self.limits_set += 1
-        runner.limit = rate
-        self.checks.on_limit_changed(runner, float(rate))
+        backend.limit = rate
+        self.checks.on_limit_changed(backend, float(rate))
 
-    def remove_limits(self, runners):
-        for runner in runners:
-            runner.limit = None
-            self.checks.on_limit_changed(runner, None)
+    def remove_limits(self, backends):
+        for backend in backends:
+            backend.limit = None
+            self.checks.on_limit_changed(backend, None)
 
     def remove_all_limits(self):
         self.remove_limits(self.platform.engines + self.platform.plain)
