--- a/scripts/bench.py
+++ b/scripts/bench.py
@@ -1,7 +1,9 @@
-"""Benches of real processes; they print lines `figure NAME VALUE UNIT`.
+"""Benchmarks of real processes; they print lines `figure NAME VALUE UNIT`.
 
-burst: one model to every agent, each under its own rate limit, against the fluid bound.
-scale: one real entry before more and more hollow agents; the slopes of docs/CAPACITY.md.
+burst: distributes one model to every agent over rate-limited links; compares the time with the
+       lower bound of a fluid model.
+scale: one real entry with a growing number of hollow agents, which hold no weights and run nothing;
+       gives the slopes in docs/CAPACITY.md.
 """
 
 import argparse
@@ -31,13 +33,16 @@
 
 
 def fluid_bound_s(machines, size, origin_rate, link_rate):
-    """Each machine receives the whole; what the origin does not send, machines do."""
+    """Lower bound on the time until every machine holds the model, in a fluid model.
+
+    Every machine receives the whole model; machines send each other what the origin does not send.
+    """
     return max(size / link_rate, size / origin_rate,
                machines * size / (origin_rate + machines * link_rate))
 
 
 class Sampler(threading.Thread):
-    """Follows the agents' live times and resident memory while a rollout runs."""
+    """Samples the agents' peak resident memory every 0.2 s while a rollout runs."""
 
     def __init__(self, fleet, agents):
         super().__init__(daemon=True)
@@ -53,7 +58,7 @@
                 self.peak_resident = max(self.peak_resident, resident_bytes(pid))
 
 
-def live_times(fleet, agents, started):
+def times_to_live(fleet, agents, started):
     """Seconds from `started` until each replica was live, from the agents' logs."""
     import datetime
     times = []
@@ -99,26 +104,26 @@
             sampler.join()
             cpu = sum(cpu_seconds(fleet.processes[agent].popen.pid) - before[agent]
                       for agent in agents)
-            times = live_times(fleet, agents, started)
+            times = times_to_live(fleet, agents, started)
             rows = fleet.rows("show machines")
             origin = fleet.stats(fleet.origin)["chunk_bytes_out"]
     bound = fluid_bound_s(arguments.agents, size, origin_rate, link_rate)
-    received = sum(int(row["origin_bytes"]) + int(row["peer_bytes"]) for row in rows)
-    peer = sum(int(row["peer_bytes"]) for row in rows)
+    received_bytes = sum(int(row["origin_bytes"]) + int(row["peer_bytes"]) for row in rows)
+    peer_bytes = sum(int(row["peer_bytes"]) for row in rows)
     figures = [
         ("agents", arguments.agents, "agents"), ("replicas_live", len(times), "replicas"),
         ("bound", bound, "s"), ("time_to_half_live", times[len(times) // 2 - 1], "s"),
         ("time_to_all_live", times[-1], "s"), ("time_to_all_live_ratio", times[-1] / bound, "x"),
         ("origin_copies", origin / size, "copies"),
-        ("duplicate_bytes_ratio", received / (arguments.agents * size) - 1, "x"),
-        ("agent_cpu_seconds_per_gib", cpu / ((received + peer) / GIBIBYTE), "s/GiB"),
+        ("duplicate_bytes_ratio", received_bytes / (arguments.agents * size) - 1, "x"),
+        ("agent_cpu_seconds_per_gib", cpu / ((received_bytes + peer_bytes) / GIBIBYTE), "s/GiB"),
         ("agent_peak_resident", sampler.peak_resident / MEBIBYTE, "MiB")]
     for name, value, unit in figures:
         print(f"figure {name} {value:.4g} {unit}")
     return 0 if len(times) == arguments.agents else 1
 
 
-def hollow_process(fleet, name, agents, first, zones):
+def start_hollow_process(fleet, name, agents, first, zones):
     path = fleets.write_ini(fleet.folder / f"{name}.ini", {
         "hollow": {"entries": ";".join(entry["agents"] for entry in fleet.entries),
                    "agents": agents, "first_number": first, "zones": zones}})
@@ -126,32 +131,32 @@
                           fleet.folder)
 
 
-def figure_of(process, name):
+def read_figure(process, name):
     for line in process.log.read_text().splitlines():
         if line.startswith(f"figure {name} "):
             return float(line.split()[2])
     raise ValueError(f"{process.name} printed no figure {name}")
 
 
-def measure_entry(fleet, pid, seconds):
-    """Share of a core and resident bytes of the entry over some seconds of steady state."""
+def measure_entry_usage(fleet, pid, seconds):
+    """Returns CPU use in cores over `seconds` of steady state, and resident bytes."""
     before = cpu_seconds(pid)
     time.sleep(seconds)
     return (cpu_seconds(pid) - before) / seconds, resident_bytes(pid)
 
 
-def scale_step(arguments, folder, count):
-    """One real entry before `count` hollow agents."""
+def measure_scale_step(arguments, folder, count):
+    """Measures one real entry that `count` hollow agents are connected to."""
     with fleets.Fleet(folder / str(count), arguments.build, zones=1, entries=1, engines=0,
                       services=0) as fleet:
         pid = fleet.processes["e1"].popen.pid
-        hollow = [hollow_process(fleet, f"hollow-{first}",
-                                 min(arguments.agents_per_process, count - first), first, 8)
+        hollow = [start_hollow_process(fleet, f"hollow-{first}",
+                                       min(arguments.agents_per_process, count - first), first, 8)
                   for first in range(0, count, arguments.agents_per_process)]
         try:
             fleets.wait_until(lambda: len(fleet.rows("show machines where state=SERVING"))
                               == count, f"{count} hollow agents")
-            cpu, resident = measure_entry(fleet, pid, arguments.seconds)
+            cpu, resident = measure_entry_usage(fleet, pid, arguments.seconds)
             print(f"figure entry_cpu_at_{count}_agents {cpu:.4f} cores")
             print(f"figure entry_resident_at_{count}_agents {resident / MEBIBYTE:.1f} MiB")
             if count == 0:
@@ -161,18 +166,18 @@
                       "chunks=1")
             fleet.ctl("set", "target", "forms", f"replicas={replicas}")
             started = time.monotonic()
-            cpu_before = cpu_seconds(pid)
+            cpu_start = cpu_seconds(pid)
             fleet.ctl("create", "rollout", "forms", "v1")
             fleet.ctl("watch", "rollout", "forms")
-            taken = time.monotonic() - started
-            print(f"figure rollout_of_{replicas}_at_{count}_agents {taken:.2f} s")
-            print(f"figure rollout_cpu_at_{count}_agents {cpu_seconds(pid) - cpu_before:.2f} s")
+            elapsed = time.monotonic() - started
+            print(f"figure rollout_of_{replicas}_at_{count}_agents {elapsed:.2f} s")
+            print(f"figure rollout_cpu_at_{count}_agents {cpu_seconds(pid) - cpu_start:.2f} s")
         finally:
             for process in hollow:
                 process.stop()
             for process in hollow:
                 process.wait()
-        total = {name: sum(figure_of(process, name) for process in hollow)
+        total = {name: sum(read_figure(process, name) for process in hollow)
                  for name in ("statuses_sent", "status_bytes_sent", "assignments_received",
                               "assignment_bytes_received")}
         print(f"figure status_bytes_at_{count}_agents "
@@ -186,7 +191,7 @@
 def scale(arguments):
     with tempfile.TemporaryDirectory(prefix="pumicemast-") as folder:
         for count in map(int, arguments.agents.split(",")):
-            scale_step(arguments, pathlib.Path(folder), count)
+            measure_scale_step(arguments, pathlib.Path(folder), count)
     return 0
 
 
@@ -194,17 +199,17 @@
     parser = argparse.ArgumentParser(prog="scripts/bench", description=__doc__)
     parser.add_argument("--build", default="build", help=argparse.SUPPRESS)
     commands = parser.add_subparsers(dest="command", required=True)
-    burst_parser = commands.add_parser("burst", help="one model to every agent")
+    burst_parser = commands.add_parser("burst", help="distribute one model to every agent")
     burst_parser.add_argument("--agents", type=int, default=24)
     burst_parser.add_argument("--model-mib", type=int, default=256)
     burst_parser.add_argument("--chunk-kib", type=int, default=1024)
     burst_parser.add_argument("--allowed-s", type=float, default=60,
-                              help="time in which a link carries two models, the origin's four")
+                              help="seconds for two model copies on a link, four from the origin")
     burst_parser.add_argument("--objective", choices=("time", "origin_bytes"), default="time")
     burst_parser.add_argument("--seed", type=int, default=1)
-    scale_parser = commands.add_parser("scale", help="one entry before hollow agents")
+    scale_parser = commands.add_parser("scale", help="one entry with hollow agents")
     scale_parser.add_argument("--agents", default="0,250,500,1000,2000",
-                              help="counts of hollow agents to measure")
+                              help="numbers of hollow agents to measure")
     scale_parser.add_argument("--agents-per-process", type=int, default=500)
     scale_parser.add_argument("--seconds", type=float, default=10)
     arguments = parser.parse_args()
--- a/tests/soak/soak_engine.py
+++ b/tests/soak/soak_engine.py
@@ -1,7 +1,8 @@
-"""Back ends of the soak: they tell the checks what they see, and engines can be troubled.
+"""Back ends of the soak: they report requests to the checks; engines can have faults.
 
-An engine is played as the protocol has it: an order takes what lies in the one staging place at that
-moment, ends what runs first, and takes nothing new until it serves the new weights.
+An engine stand-in follows the protocol: a start order activates the chunks that are staged when the
+order is taken. The engine finishes its running requests first and accepts no new ones until it
+serves the new weights.
 """
 
 import asyncio
@@ -9,15 +10,15 @@
 
 from platform_standin import Backend, send_response, chunk_content
 
-CHANGEOVER_S = 0.1  # As `warmS` in the stand-in's configuration.
-LATEST_ORDER_S = 12.0  # Orders without an answer were seen to be carried out 2.7 to 12 s later.
-SLOWEST_ANSWER_S = 2.0  # Longer than an agent waits for an answer to an order (0.5 s).
-KILLER_TARGET = "/chat/killer-"  # What begins so ends the engine that begins it.
-TIMELINE_EVENTS = 400  # Ten versions' chunks and orders.
+CHANGEOVER_S = 0.1  # Same as `warmS` in the stand-in's configuration.
+MAX_ORDER_DELAY_S = 12.0  # Engines have carried out unanswered orders 2.7 to 12 s later.
+MAX_ORDER_RESPONSE_S = 2.0  # Longer than an agent waits for the response to an order (0.5 s).
+CRASHING_TARGET = "/chat/killer-"  # Requests with this prefix crash the engine that starts them.
+MAX_TIMELINE_EVENTS = 400  # Enough for the chunks and orders of ten versions.
 
 
-class SoakRunner(Backend):
-    """Puts the request's id into what it answers, and tells the checks when each request begins."""
+class SoakBackend(Backend):
+    """Responds with the request's id and reports the start of each request to the checks."""
 
     def __init__(self, checks, service, *arguments):
         super().__init__(*arguments)
@@ -25,10 +26,10 @@
         self.service = service
         self.draining_since = None
         self.down = False
-        self.limit = None  # Requests a second that it takes of all gateways together.
+        self.limit = None  # Requests per second accepted from all gateways together.
 
-    async def start_anew(self):
-        """Another incarnation at the same address."""
+    async def restart(self):
+        """Starts another incarnation at the same address."""
         self.identity += "x"
 
     async def run(self, writer, method, target, headers):
@@ -40,11 +41,11 @@
         fields = super().head(headers, extra)
         if self.limit is not None:
             fields["Server-Limit"] = self.limit
-            self.checks.on_limit_told(self)
+            self.checks.on_limit_sent(self)
         return fields
 
     def on_request_started(self, headers):
-        self.checks.on_run(self, headers.get("x-pumicemast-request-id", ""))
+        self.checks.on_request_started(self, headers.get("x-pumicemast-request-id", ""))
 
     def plain_body(self, headers):
         return headers.get("x-pumicemast-request-id", "").encode()
@@ -54,51 +55,52 @@
         return f"id: {number}\ndata: {identity} {number}\n\n".encode()
 
 
-class SoakEngine(SoakRunner):
-    """An engine with weights, one staging place and a sequence of orders."""
+class SoakEngine(SoakBackend):
+    """An engine with weights, one staging area and a sequence number of orders."""
 
     def __init__(self, checks, random, *arguments):
         super().__init__(checks, "engines", *arguments)
         self.random = random
         self.name = self.identity
-        self.life = 1
+        self.incarnation = 1
         self.running = 0
         self.busy = False
-        self.wrong_chunks = {}  # Of the weights that it serves: chunk and what is wrong with it.
-        self.turned_bad = {}  # Chunk that turned bad where it lies, and when.
-        self.order_trouble = None
-        self.late_orders = 0  # Sent so far, whether taken meanwhile or not.
+        self.wrong_chunks = {}  # Of the served weights: chunk number and its defect.
+        self.corrupted_at = {}  # Staged chunks that were corrupted, with the time.
+        self.order_fault = None
+        self.delayed_orders = 0  # Number of orders received so far to execute late.
         self.report_delay = 0.0
         self.timeline = []
-        self.platform = None  # Lists it anew after it ended under a request; set by the platform.
-        self.revivals = []
-        self.never = asyncio.Event()  # Kept here: what waits for an event alone is collected with it.
-        self.work = set()  # Orders on their way, and a changeover.
+        self.platform = None  # Registers it again after a crash; set by the platform.
+        self.restart_tasks = []
+        # Referenced here because a task that waits for an unreferenced event is garbage-collected.
+        self.never = asyncio.Event()
+        self.tasks = set()  # Delayed orders, and an activation.
 
-    def note(self, text):
+    def record_event(self, text):
         self.timeline.append((time.monotonic(), text))
-        del self.timeline[:-TIMELINE_EVENTS]
+        del self.timeline[:-MAX_TIMELINE_EVENTS]
 
     def spawn(self, coroutine):
         task = asyncio.create_task(coroutine)
-        self.work.add(task)
-        task.add_done_callback(self.work.discard)
+        self.tasks.add(task)
+        task.add_done_callback(self.tasks.discard)
 
     # ---- staging ----
 
     def stage(self, number, data):
         super().stage(number, data)
-        self.turned_bad.pop(number, None)
+        self.corrupted_at.pop(number, None)
         versions = [version for version in sorted(self.checks.named_at)
                     if data == chunk_content(version, number)]
-        self.note(f"chunk {number} written, of version {versions or 'none'}")
+        self.record_event(f"chunk {number} written, of version {versions or 'none'}")
 
-    def spoil(self, number):
-        """A chunk turns bad where it lies."""
+    def corrupt(self, number):
+        """Corrupts a staged chunk."""
         if number in self.staged:
             self.staged[number] = b"x" + self.staged[number][:-1]
-            self.turned_bad[number] = time.monotonic()
-            self.note(f"chunk {number} turned bad")
+            self.corrupted_at[number] = time.monotonic()
+            self.record_event(f"chunk {number} corrupted")
 
     # ---- orders ----
 
@@ -110,45 +112,45 @@
         self.seq += 1
         self.orders.append(order)
         self.busy = True
-        wrong = self.checks.wrong_chunks(order["version"], self.staged, self.turned_bad)
-        if wrong:  # A violation only when it serves a request.
-            self.checks.count("engine", "took a mixture")
-        self.spawn(self.change_over(order["version"], wrong))
+        wrong = self.checks.wrong_chunks(order["version"], self.staged, self.corrupted_at)
+        if wrong:  # A violation only if the engine then serves a request.
+            self.checks.count_outcome("engine", "activated mixed weights")
+        self.spawn(self.finish_activation(order["version"], wrong))
         return 202
 
-    def take_and_note(self, order, how):
+    def activate_and_record(self, order, how):
         status = self.activate(order)
-        self.note(f"order to start version {order['version']}, expectedRev "
+        self.record_event(f"order to start version {order['version']}, expectedRev "
                   f"{order.get('expectedRev')}, {how}: {status}, seq {self.seq}")
         return status
 
-    async def change_over(self, version, wrong):
+    async def finish_activation(self, version, wrong):
         while self.running:
             await asyncio.sleep(0.01)
         await asyncio.sleep(CHANGEOVER_S)
         self.version, self.wrong_chunks, self.busy = version, wrong, False
-        self.note(f"serves version {version}, wrong chunks {wrong}")
+        self.record_event(f"serves version {version}, wrong chunks {wrong}")
 
-    async def take_later(self, order, delay):
+    async def execute_later(self, order, delay):
         await asyncio.sleep(delay)
-        self.take_and_note(order, f"{delay:.2f} s late, not answered")
+        self.activate_and_record(order, f"{delay:.2f} s late, not answered")
 
     async def handle_order(self, writer, order):
-        trouble = self.order_trouble
-        if trouble is None:
-            send_response(writer, self.take_and_note(order, "answered"))
+        fault = self.order_fault
+        if fault is None:
+            send_response(writer, self.activate_and_record(order, "answered"))
             return
-        if trouble == "answered late":
-            status = self.take_and_note(order, "answered late")
-            await asyncio.sleep(self.random.uniform(0, SLOWEST_ANSWER_S))
+        if fault == "answered late":
+            status = self.activate_and_record(order, "answered late")
+            await asyncio.sleep(self.random.uniform(0, MAX_ORDER_RESPONSE_S))
             send_response(writer, status)
             return
-        if trouble == "lost":
-            self.note(f"order to start version {order['version']} lost")
+        if fault == "lost":
+            self.record_event(f"order to start version {order['version']} lost")
         else:
-            self.late_orders += 1
-            self.spawn(self.take_later(order, self.random.uniform(0, LATEST_ORDER_S)))
-        await self.never.wait()  # This connection says nothing further.
+            self.delayed_orders += 1
+            self.spawn(self.execute_later(order, self.random.uniform(0, MAX_ORDER_DELAY_S)))
+        await self.never.wait()  # No response is sent on this connection.
 
     async def handle_report(self, writer):
         report = self.report()
@@ -161,11 +163,11 @@
     # ---- requests ----
 
     async def run(self, writer, method, target, headers):
-        if target.startswith(KILLER_TARGET):
-            await self.run_killer(writer, target, headers)
+        if target.startswith(CRASHING_TARGET):
+            await self.run_crashing_request(writer, target, headers)
             return
-        wanted = int(headers.get("x-pumicemast-expect-version", 0))
-        if self.version == 0 or wanted not in (0, self.version):
+        expected_version = int(headers.get("x-pumicemast-expect-version", 0))
+        if self.version == 0 or expected_version not in (0, self.version):
             self.refuse(writer, headers, 421)
         elif self.busy:
             self.refuse(writer, headers, 503)
@@ -174,56 +176,55 @@
 
     def refuse(self, writer, headers, status):
         self.checks.on_arrival(self.service, headers.get("x-pumicemast-request-id", ""))
-        send_response(writer, status, b"",
-                      self.head(headers, {"X-Pumicemast-Not-Executed": 1}.items()))
+        send_response(writer, status, b"", self.head(headers, {"X-Pumicemast-Not-Executed": 1}.items()))
 
     async def run_counted(self, writer, method, target, headers):
-        life = self.life
+        incarnation = self.incarnation
         self.running += 1
         try:
             await super().run(writer, method, target, headers)
         finally:
-            if life == self.life:
+            if incarnation == self.incarnation:
                 self.running -= 1
 
-    # ---- lives ----
+    # ---- incarnations ----
 
-    async def start_anew(self):
+    async def restart(self):
         await self.crash()
-        await self.come_back()
+        await self.recover()
 
-    async def run_killer(self, writer, target, headers):
-        """The request ends the engine that begins it; it is back a while later."""
+    async def run_crashing_request(self, writer, target, headers):
+        """Crashes the engine, which starts this request; it recovers 0.3 to 1.5 s later."""
         if self.down or self.draining_since or self.busy or not self.version:
             self.refuse(writer, headers, 503)
             return
-        self.checks.on_engine_ended_by(target)
+        self.checks.on_engine_crash(target)
         self.down = True
         old = self.identity
         await self.crash()
-        self.revivals.append(asyncio.create_task(self.come_back_listed(old)))
+        self.restart_tasks.append(asyncio.create_task(self.recover_and_register(old)))
         raise ConnectionError
 
-    async def come_back_listed(self, old):
+    async def recover_and_register(self, old):
         await asyncio.sleep(self.random.uniform(0.3, 1.5))
-        await self.come_back()
+        await self.recover()
         self.platform.register(self, self.service)
         self.platform.unregister(old)
         self.checks.disturb_engines(0)
         self.down = False
 
     async def crash(self):
-        """Ends it with all that was under way; what was staged stays."""
-        self.note("crashed")
-        self.life += 1
-        for task in list(self.work):
+        """Ends the engine and all its work in progress; staged chunks are kept."""
+        self.record_event("crashed")
+        self.incarnation += 1
+        for task in list(self.tasks):
             task.cancel()
         await self.stop()
 
-    async def come_back(self):
-        """Another incarnation: no layers, no orders taken."""
-        self.identity = f"{self.name}-{self.life}"
+    async def recover(self):
+        """Starts another incarnation, without layers and with no orders taken."""
+        self.identity = f"{self.name}-{self.incarnation}"
         self.version, self.seq, self.running, self.busy = 0, 0, 0, False
         self.wrong_chunks = {}
         await self.start()
-        self.note(f"came back as {self.identity}, chunks staged {sorted(self.staged)}")
+        self.record_event(f"recovered as {self.identity}, chunks staged {sorted(self.staged)}")
--- a/tests/soak/soak_fleet.py
+++ b/tests/soak/soak_fleet.py
@@ -1,4 +1,4 @@
-"""The soak's fleet: three gateways, three agents, the store and all back ends behind proxies."""
+"""The soak's fleet: three gateways, three agents, and the store and back ends behind proxies."""
 
 import asyncio
 import os
@@ -10,15 +10,15 @@
 import platform_test
 from loopback_proxy import LoopbackProxy
 from platform_standin import Origin, Store
-from soak_checks import DEADLINE_S, RETRY_EXTRA, RETRY_RATIO, START_BOUND_S
-from soak_engine import SoakEngine, SoakRunner
+from soak_checks import DEADLINE_S, RETRY_EXTRA, RETRY_RATIO, OUTDATED_WEIGHTS_LIMIT_S
+from soak_engine import SoakEngine, SoakBackend
 
 GATEWAYS = ["127.0.0.21", "127.0.0.22", "127.0.0.23"]
 ENGINES = ["127.0.0.11", "127.0.0.12", "127.0.0.13"]
 
 
 class SoakPlatform(platform_test.Platform):
-    """The processes, and the outside that they meet."""
+    """The processes of the system, with stand-ins for the store, the origin and the back ends."""
 
     def __init__(self, folder, checks, random):
         super().__init__(folder)
@@ -29,7 +29,7 @@
         self.hosts = {}
 
     def suspend_when_frozen(self):
-        """A process that is frozen takes its machine for suspended: its steady clock stands still."""
+        """Stops the steady clock of frozen processes, as on a suspended machine."""
         library = self.folder / "suspended_clock.so"
         source = Path(__file__).with_name("suspended_clock.c")
         subprocess.run(["cc", "-shared", "-fPIC", "-O1", "-o", library, source], check=True)
@@ -37,7 +37,7 @@
 
     async def start(self):
         self.store, self.origin = Store(), Origin()
-        self.plain = [SoakRunner(self.checks, "plain", f"p{n}") for n in (1, 2)]
+        self.plain = [SoakBackend(self.checks, "plain", f"p{n}") for n in (1, 2)]
         self.engines = [SoakEngine(self.checks, self.random, f"e{n}", host, "m", 1)
                         for n, host in enumerate(ENGINES, 1)]
         for engine in self.engines:
@@ -45,13 +45,13 @@
         for server in [self.store, self.origin, *self.plain, *self.engines]:
             await server.start()
         self.store_proxy = await self.proxy("127.0.0.1", self.store)
-        self.proxies = {runner: await self.proxy(runner.host, runner)
-                        for runner in self.plain + self.engines}
+        self.proxies = {backend: await self.proxy(backend.host, backend)
+                        for backend in self.plain + self.engines}
         self.internal = platform_test.free_port()
         self.ports = {host: [platform_test.free_port() for _ in range(3)] for host in GATEWAYS}
         self.configure(self.version)
-        for runner in self.plain + self.engines:
-            self.register(runner, runner.service)
+        for backend in self.plain + self.engines:
+            self.register(backend, backend.service)
         self.store.put("versions", "m", {"model": "m", "version": 1})
         for index in range(len(ENGINES)):
             self.start_host(index)
@@ -66,22 +66,22 @@
         await proxy.start()
         return proxy
 
-    def register(self, runner, service, state="ready"):
-        self.store.put("servers", runner.identity, {
-            "service": service, "address": f"{runner.host}:{self.proxies[runner].port}", "zone": "z1",
-            "slots": 4, "state": state, "models": [], "layers": None})
+    def register(self, backend, service, state="ready"):
+        self.store.put("servers", backend.identity, {
+            "service": service, "address": f"{backend.host}:{self.proxies[backend].port}",
+            "zone": "z1", "slots": 4, "state": state, "models": [], "layers": None})
 
     def unregister(self, identity):
         if identity in self.store.objects["servers"]:
             self.store.delete("servers", identity)
 
     def start_host(self, index):
-        runner = self.engines[index]
-        real, store = runner.port, self.store
-        # The agent takes the engine and the store where the proxies are.
-        runner.port, self.store = self.proxies[runner].port, self.store_proxy
-        self.hosts[index] = self.run_host(index, runner)
-        runner.port, self.store = real, store
+        backend = self.engines[index]
+        engine_port, store = backend.port, self.store
+        # The agent connects to the engine and the store through their proxies.
+        backend.port, self.store = self.proxies[backend].port, self.store_proxy
+        self.hosts[index] = self.run_host(index, backend)
+        backend.port, self.store = engine_port, store
 
     def start_gateway(self, host):
         callers, ready, metrics = self.ports[host]
@@ -97,7 +97,7 @@
 metrics={host}:{metrics}
 internal={host}:{self.internal}
 [weights]
-changeover_ms={int(START_BOUND_S * 1000)}
+changeover_ms={int(OUTDATED_WEIGHTS_LIMIT_S * 1000)}
 changeover_margin_ms=500
 [retry]
 ratio={RETRY_RATIO}
@@ -108,18 +108,19 @@
 [platform]
 store=127.0.0.1:{self.store_proxy.port}
 """)
-        self.checks.lives[host] = self.checks.lives.get(host, 0) + 1
+        self.checks.incarnations[host] = self.checks.incarnations.get(host, 0) + 1
 
     def launch(self, name, program, settings, stdout=None):
-        """Later lives of a process add to its log."""
+        """Starts a process; its later incarnations append to the same log."""
         output = stdout or open(self.folder / f"{name}.log", "ab")
         return super().launch(name, program, settings, output)
 
     async def call_gateway(self, host, method, target, identity, port=0):
         reader, writer = await asyncio.open_connection(host, self.ports[host][port])
         fields = {"Host": "api.example", "X-Api-Key": "key", "X-Pumicemast-Request-Id": identity,
-                  "X-Pumicemast-Deadline-Ms": str(int(DEADLINE_S * 1000)), "X-Pumicemast-Model": "m",
-                  "X-Pumicemast-Token-Usage": "100,50", "Content-Length": "0"}
+                  "X-Pumicemast-Deadline-Ms": str(int(DEADLINE_S * 1000)),
+                  "X-Pumicemast-Model": "m", "X-Pumicemast-Token-Usage": "100,50",
+                  "Content-Length": "0"}
         lines = [f"{method} {target} HTTP/1.1"] + [f"{n}: {v}" for n, v in fields.items()]
         writer.write(("\r\n".join(lines) + "\r\n\r\n").encode())
         try:
--- a/tests/soak/soak_limits.py
+++ b/tests/soak/soak_limits.py
@@ -1,43 +1,43 @@
-"""Back ends that name how many requests a second they take of all gateways together."""
+"""Rate limits that back ends set for all gateways together during the soak."""
 
 import asyncio
 
-RATES = ["0.5", "1", "2", "5.5", "10"]  # Requests a second.
-LONGEST_S = 9.0  # For which one limit is named; some windows of the check fit in.
+RATES = ["0.5", "1", "2", "5.5", "10"]  # Requests per second.
+MAX_LIMIT_DURATION_S = 9.0  # Some windows of the check fit into this time.
 
 
 class Limits:
-    """Names and lifts limits beside whatever else is played. Its draws are its own."""
+    """Sets and removes limits, independently of the faults and with its own random generator."""
 
     def __init__(self, platform, checks, random):
         self.platform, self.checks, self.random = platform, checks, random
-        self.named = 0
+        self.limits_set = 0
 
     async def run(self):
-        """Until cancelled; limits that are named then stay."""
+        """Runs until cancelled; limits that are set then remain."""
         while True:
             await asyncio.sleep(self.random.uniform(0.3, 1.5))
-            runners = self.drawn()
-            for runner in runners:
-                self.name(runner, self.random.choice(RATES))
-            await asyncio.sleep(self.random.uniform(2.0, LONGEST_S))
-            if self.random.random() < 0.3:  # Another limit follows at once.
+            backends = self.choose_backends()
+            for backend in backends:
+                self.set_limit(backend, self.random.choice(RATES))
+            await asyncio.sleep(self.random.uniform(2.0, MAX_LIMIT_DURATION_S))
+            if self.random.random() < 0.3:  # The next limit may replace it.
                 continue
-            self.lift(runners)
+            self.remove_limits(backends)
 
-    def drawn(self):
+    def choose_backends(self):
         group = self.random.choice([self.platform.engines, self.platform.plain])
         return group if self.random.random() < 0.4 else [self.random.choice(group)]
 
-    def name(self, runner, rate):
-        self.named += 1
-        runner.limit = rate
-        self.checks.on_limit(runner, float(rate))
+    def set_limit(self, backend, rate):
+        self.limits_set += 1
+        backend.limit = rate
+        self.checks.on_limit_changed(backend, float(rate))
 
-    def lift(self, runners):
-        for runner in runners:
-            runner.limit = None
-            self.checks.on_limit(runner, None)
+    def remove_limits(self, backends):
+        for backend in backends:
+            backend.limit = None
+            self.checks.on_limit_changed(backend, None)
 
-    def lift_all(self):
-        self.lift(self.platform.engines + self.platform.plain)
+    def remove_all_limits(self):
+        self.remove_limits(self.platform.engines + self.platform.plain)
