--- a/src/common/clock.h
+++ b/src/common/clock.h
@@ -23,24 +23,24 @@
 ClockReading read_clocks();
 
 /// Notices that the machine was suspended.
-class SuspensionWatch {
+class SuspensionDetector {
  public:
-  explicit SuspensionWatch(const ClockReading& now) : slept_(now.elapsed - now.awake) {}
+  explicit SuspensionDetector(const ClockReading& now) : suspended_(now.elapsed - now.awake) {}
 
   /// @return for how long the machine was suspended since the last call; zero when it was not.
   Duration on_reading(const ClockReading& now) {
-    const Duration slept = now.elapsed - now.awake;
-    const Duration since = slept - slept_;
-    if (since < kLeast) return Duration::zero();
-    slept_ = slept;
+    const Duration suspended = now.elapsed - now.awake;
+    const Duration since = suspended - suspended_;
+    if (since < kMinimumSuspension) return Duration::zero();
+    suspended_ = suspended;
     return since;
   }
 
  private:
   /// The two clocks are read one after the other, and a process may have to wait in between.
-  static constexpr Duration kLeast = milliseconds(20);
+  static constexpr Duration kMinimumSuspension = milliseconds(20);
 
-  Duration slept_;
+  Duration suspended_;
 };
 
 }  // namespace pumicemast
--- a/src/common/event_loop.cpp
+++ b/src/common/event_loop.cpp
@@ -22,11 +22,11 @@
 
 TimePoint loop_now() { return read_elapsed(); }
 
-void make_up_for_suspension() {
-  static SuspensionWatch watch(read_clocks());
-  const Duration slept = watch.on_reading(read_clocks());
-  if (slept == Duration::zero()) return;
-  for (Timer* timer : active_timers()) timer->bring_forward(slept);
+void compensate_for_suspension() {
+  static SuspensionDetector detector(read_clocks());
+  const Duration suspended = detector.on_reading(read_clocks());
+  if (suspended == Duration::zero()) return;
+  for (Timer* timer : active_timers()) timer->bring_forward(suspended);
 }
 
 EventLoop::EventLoop() : loop_(g_main_loop_new(nullptr, FALSE)) {}
@@ -97,7 +97,7 @@
 }
 
 gboolean Timer::fire(gpointer self) {
-  make_up_for_suspension();
+  compensate_for_suspension();
   auto* timer = static_cast<Timer*>(self);
   if (timer->repeating_) {
     timer->callback_();
--- a/src/common/event_loop.h
+++ b/src/common/event_loop.h
@@ -14,7 +14,7 @@
 
 /// Timers were begun before the machine was suspended: what is due by loop_now() fires now, and not
 /// later by the time that it slept. Each timer that fires looks for that itself.
-void make_up_for_suspension();
+void compensate_for_suspension();
 
 /// Runs the default main context until quit().
 class EventLoop {
@@ -58,7 +58,7 @@
   bool active() const { return source_ != 0; }
 
  private:
-  friend void make_up_for_suspension();
+  friend void compensate_for_suspension();
   static gboolean fire(gpointer self);
   void bring_forward(Duration by);
 
--- a/src/common/log.cpp
+++ b/src/common/log.cpp
@@ -21,23 +21,23 @@
 };
 
 /// Lines beyond this many gathered bytes are left out: the reader has stopped reading.
-constexpr std::size_t kGatheredLimitBytes = 256U * 1024U;
+constexpr std::size_t kBufferLimitBytes = 256U * 1024U;
 
-struct GatheredLines {
+struct BufferedLines {
   std::string bytes;
   std::uint64_t left_out = 0;
 };
 
-GatheredLines& gathered_lines() {
-  static GatheredLines lines;
+BufferedLines& buffered_lines() {
+  static BufferedLines lines;
   return lines;
 }
 
 class GatheringDispatch : public el::LogDispatchCallback {
  protected:
   void handle(const el::LogDispatchData* data) override {
-    GatheredLines& lines = gathered_lines();
-    if (lines.bytes.size() > kGatheredLimitBytes) {
+    BufferedLines& lines = buffered_lines();
+    if (lines.bytes.size() > kBufferLimitBytes) {
       ++lines.left_out;
       return;
     }
@@ -73,8 +73,8 @@
 }
 
 void flush_decision_log() {
-  GatheredLines& lines = gathered_lines();
-  if (lines.left_out > 0 && lines.bytes.size() < kGatheredLimitBytes) {
+  BufferedLines& lines = buffered_lines();
+  if (lines.left_out > 0 && lines.bytes.size() < kBufferLimitBytes) {
     const std::uint64_t left_out = lines.left_out;
     lines.left_out = 0;
     LOG(WARNING) << "log lines_left_out=" << left_out << " reason=reader_slow";
--- a/src/common/recent_maximum.h
+++ b/src/common/recent_maximum.h
@@ -14,25 +14,25 @@
   explicit RecentMaximum(Duration window) : window_(window) {}
 
   void note(std::uint64_t value, TimePoint now) {
-    roll(now);
+    rotate(now);
     current_ = std::max(current_, value);
   }
   /// 0 when nothing was noted.
   std::uint64_t value(TimePoint now) {
-    roll(now);
+    rotate(now);
     return std::max(current_, previous_);
   }
 
  private:
-  void roll(TimePoint now) {
-    if (now - began_ < window_) return;
-    previous_ = now - began_ < 2 * window_ ? current_ : 0;
+  void rotate(TimePoint now) {
+    if (now - rotated_at_ < window_) return;
+    previous_ = now - rotated_at_ < 2 * window_ ? current_ : 0;
     current_ = 0;
-    began_ = now;
+    rotated_at_ = now;
   }
 
   Duration window_;
-  TimePoint began_{};
+  TimePoint rotated_at_{};
   std::uint64_t current_ = 0;
   std::uint64_t previous_ = 0;
 };
--- a/src/common/recent_set.h
+++ b/src/common/recent_set.h
@@ -17,27 +17,27 @@
   RecentSet(Duration span, std::size_t capacity) : span_(span), capacity_(capacity) {}
 
   void add(const Key& key, TimePoint now) {
-    turn(now);
+    rotate(now);
     if (newer_.size() < capacity_) newer_.insert(key);
   }
   bool contains(const Key& key, TimePoint now) {
-    turn(now);
+    rotate(now);
     return newer_.contains(key) || older_.contains(key);
   }
 
  private:
   using Keys = std::unordered_set<Key, Hash>;
 
-  void turn(TimePoint now) {
-    if (now - begun_ < span_) return;
-    older_ = now - begun_ < span_ * 2 ? std::move(newer_) : Keys{};
+  void rotate(TimePoint now) {
+    if (now - rotated_at_ < span_) return;
+    older_ = now - rotated_at_ < span_ * 2 ? std::move(newer_) : Keys{};
     newer_ = Keys{};
-    begun_ = now;
+    rotated_at_ = now;
   }
 
   Duration span_;
   std::size_t capacity_;
-  TimePoint begun_{};  ///< When the newer keys began to be gathered.
+  TimePoint rotated_at_{};  ///< When the newer keys began to be gathered.
   Keys newer_;
   Keys older_;
 };
--- a/src/common/settings.cpp
+++ b/src/common/settings.cpp
@@ -93,7 +93,7 @@
 }
 
 std::optional<std::string> Settings::find(const std::string& section, const std::string& key) {
-  asked_.insert({section, key});
+  requested_.insert({section, key});
   gchar* value = g_key_file_get_string(file_.get(), section.c_str(), key.c_str(), nullptr);
   if (value == nullptr) return std::nullopt;
   std::string text = trimmed(value);
@@ -101,8 +101,8 @@
   return text;
 }
 
-void Settings::complain(const std::string& section, const std::string& key,
-                        const std::string& reason) {
+void Settings::add_finding(const std::string& section, const std::string& key,
+                           const std::string& reason) {
   if (!loaded_) return;  // The load failure is the one finding that matters.
   const auto line = lines_.find({section, key});
   findings_.add({path_, line == lines_.end() ? 0 : line->second, section, key, reason});
@@ -111,7 +111,7 @@
 std::string Settings::required_string(const std::string& section, const std::string& key) {
   const auto text = find(section, key);
   if (!text || text->empty()) {
-    complain(section, key, "missing; a value is required");
+    add_finding(section, key, "missing; a value is required");
     return {};
   }
   return *text;
@@ -128,13 +128,13 @@
   if (!text) return fallback;
   const auto number = parse_number<std::int64_t>(*text);
   if (!number) {
-    complain(section, key, "\"" + *text + "\" is not a whole number");
+    add_finding(section, key, "\"" + *text + "\" is not a whole number");
     return fallback;
   }
   if (*number < range.minimum || *number > range.maximum) {
-    complain(section, key,
-             *text + " is outside " + std::to_string(range.minimum) + " to " +
-                 std::to_string(range.maximum));
+    add_finding(section, key,
+                *text + " is outside " + std::to_string(range.minimum) + " to " +
+                    std::to_string(range.maximum));
     return fallback;
   }
   return *number;
@@ -146,12 +146,13 @@
   if (!text) return fallback;
   const auto number = parse_number<double>(*text);
   if (!number || !std::isfinite(*number)) {
-    complain(section, key, "\"" + *text + "\" is not a number");
+    add_finding(section, key, "\"" + *text + "\" is not a number");
     return fallback;
   }
   if (*number < minimum || *number > maximum) {
-    complain(section, key,
-             *text + " is outside " + std::to_string(minimum) + " to " + std::to_string(maximum));
+    add_finding(
+        section, key,
+        *text + " is outside " + std::to_string(minimum) + " to " + std::to_string(maximum));
     return fallback;
   }
   return *number;
@@ -162,7 +163,7 @@
   if (!text) return fallback;
   if (*text == "true") return true;
   if (*text == "false") return false;
-  complain(section, key, "\"" + *text + "\" is neither true nor false");
+  add_finding(section, key, "\"" + *text + "\" is neither true nor false");
   return fallback;
 }
 
@@ -180,7 +181,7 @@
     if (candidate == *text) return candidate;
     names += (names.empty() ? "" : ", ") + candidate;
   }
-  complain(section, key, "\"" + *text + "\" is not one of " + names);
+  add_finding(section, key, "\"" + *text + "\" is not one of " + names);
   return choices.front();
 }
 
@@ -188,7 +189,7 @@
   const std::string text = required_string(section, key);
   const auto address = parse_address(text);
   if (!address && !text.empty()) {
-    complain(section, key, "\"" + text + "\" is not IP:PORT");
+    add_finding(section, key, "\"" + text + "\" is not IP:PORT");
   }
   return address.value_or(Address{});
 }
@@ -201,7 +202,7 @@
     if (address) {
       addresses.push_back(*address);
     } else {
-      complain(section, key, "\"" + item + "\" is not IP:PORT");
+      add_finding(section, key, "\"" + item + "\" is not IP:PORT");
     }
   }
   return addresses;
@@ -222,14 +223,14 @@
   if (text.empty()) return text;
   const std::string scheme = kUrlScheme;
   if (text.rfind(scheme, 0) != 0 || !parse_address(text.substr(scheme.size()))) {
-    complain(section, key, "\"" + text + "\" is not http://IP:PORT");
+    add_finding(section, key, "\"" + text + "\" is not http://IP:PORT");
   }
   return text;
 }
 
 void Settings::require(bool condition, const std::string& section, const std::string& key,
                        const std::string& reason) {
-  if (!condition) complain(section, key, reason);
+  if (!condition) add_finding(section, key, reason);
 }
 
 void Settings::report_unknown() {
@@ -240,8 +241,8 @@
     gsize key_count = 0;
     gchar** keys = g_key_file_get_keys(file_.get(), groups[group], &key_count, nullptr);
     for (gsize key = 0; key < key_count; ++key) {
-      if (!asked_.contains({groups[group], keys[key]})) {
-        complain(groups[group], keys[key], "unknown key");
+      if (!requested_.contains({groups[group], keys[key]})) {
+        add_finding(groups[group], keys[key], "unknown key");
       }
     }
     g_strfreev(keys);
--- a/src/common/settings.h
+++ b/src/common/settings.h
@@ -80,13 +80,13 @@
   std::optional<std::string> find(const std::string& section, const std::string& key);
   std::vector<Address> parse_addresses(const std::string& section, const std::string& key,
                                        const std::string& text);
-  void complain(const std::string& section, const std::string& key, const std::string& reason);
+  void add_finding(const std::string& section, const std::string& key, const std::string& reason);
 
   std::string path_;
   Findings& findings_;
   std::unique_ptr<GKeyFile, decltype(&g_key_file_unref)> file_;
   std::map<std::pair<std::string, std::string>, int> lines_;
-  std::set<std::pair<std::string, std::string>> asked_;
+  std::set<std::pair<std::string, std::string>> requested_;
   bool loaded_ = false;
 };
 
--- a/tests/common/event_loop_test.cpp
+++ b/tests/common/event_loop_test.cpp
@@ -71,14 +71,14 @@
 
   void clocks_that_drift_by_a_reading_are_no_suspension() {
     TimePoint now{seconds(100)};
-    SuspensionWatch watch({now, now});
-    CPPUNIT_ASSERT(watch.on_reading({now + milliseconds(5), now}) == Duration::zero());
-    CPPUNIT_ASSERT(watch.on_reading({now + seconds(3), now}) == seconds(3));
-    CPPUNIT_ASSERT(watch.on_reading({now + seconds(5), now + seconds(2)}) == Duration::zero());
+    SuspensionDetector detector({now, now});
+    CPPUNIT_ASSERT(detector.on_reading({now + milliseconds(5), now}) == Duration::zero());
+    CPPUNIT_ASSERT(detector.on_reading({now + seconds(3), now}) == seconds(3));
+    CPPUNIT_ASSERT(detector.on_reading({now + seconds(5), now + seconds(2)}) == Duration::zero());
     // Small ones add up.
-    CPPUNIT_ASSERT(watch.on_reading({now + milliseconds(5015), now + seconds(2)}) ==
+    CPPUNIT_ASSERT(detector.on_reading({now + milliseconds(5015), now + seconds(2)}) ==
                    Duration::zero());
-    CPPUNIT_ASSERT(watch.on_reading({now + milliseconds(5030), now + seconds(2)}) ==
+    CPPUNIT_ASSERT(detector.on_reading({now + milliseconds(5030), now + seconds(2)}) ==
                    milliseconds(30));
   }
 
