--- a/src/common/clock.h
+++ b/src/common/clock.h
@@ -1,9 +1,9 @@
-/// The time that all daemons go by, and how long the machine has slept.
+/// The clocks of the daemons, and detection of a suspended machine.
 ///
-/// A suspended machine's CLOCK_MONOTONIC stands still; CLOCK_BOOTTIME does not. Whatever holds for
-/// a span (a lease, a report's age, a bound on old weights, a retry window) has run on meanwhile,
-/// so that time is read from CLOCK_BOOTTIME. The system's timers and poll go by CLOCK_MONOTONIC:
-/// the difference between the two tells how late they would be.
+/// CLOCK_MONOTONIC stops while the machine is suspended; CLOCK_BOOTTIME does not. Durations such as
+/// leases, report ages, limits on outdated weights and retry windows include the suspension, so
+/// daemons read CLOCK_BOOTTIME. The system's timers and poll use CLOCK_MONOTONIC: the difference
+/// between the two clocks is the delay that a suspension adds to them.
 #pragma once
 
 #include "common/time.h"
@@ -12,22 +12,23 @@
 
 /// Both clocks at one moment.
 struct ClockReading {
-  TimePoint elapsed{};  ///< With the time that the machine was suspended.
-  TimePoint awake{};    ///< Without it.
+  TimePoint elapsed{};  ///< Includes time in suspension.
+  TimePoint awake{};    ///< Excludes time in suspension.
 };
 
-/// With the time that the machine was suspended.
+/// Time that includes suspensions of the machine.
 TimePoint read_elapsed();
 
-/// Reads both clocks. Where there is no CLOCK_BOOTTIME, they are the same.
+/// Reads both clocks. Without CLOCK_BOOTTIME both readings come from CLOCK_MONOTONIC.
 ClockReading read_clocks();
 
-/// Notices that the machine was suspended.
+/// Detects that the machine was suspended.
 class SuspensionDetector {
  public:
   explicit SuspensionDetector(const ClockReading& now) : suspended_(now.elapsed - now.awake) {}
 
-  /// @return for how long the machine was suspended since the last call; zero when it was not.
+  /// @return for how long the machine was suspended since the last detected suspension; zero
+  ///         when for less than kMinimumSuspension.
   Duration on_reading(const ClockReading& now) {
     const Duration suspended = now.elapsed - now.awake;
     const Duration since = suspended - suspended_;
@@ -37,7 +38,8 @@
   }
 
  private:
-  /// The two clocks are read one after the other, and a process may have to wait in between.
+  /// Differences below this are ignored: the clocks are read one after the other, and the process
+  /// may be descheduled in between.
   static constexpr Duration kMinimumSuspension = milliseconds(20);
 
   Duration suspended_;
--- a/src/common/command_line.cpp
+++ b/src/common/command_line.cpp
@@ -12,14 +12,15 @@
 namespace {
 
 void print_help(const DaemonUsage& usage) {
-  std::cout << usage.program << ": " << usage.summary << "\n\n"
-            << "usage: " << usage.program << " --settings FILE [--set SECTION.KEY=VALUE]...\n\n"
-            << "  -s, --settings FILE      settings in INI (docs/operators/settings.md)\n"
-            << "      --set SECTION.KEY=V  replaces one setting; may be repeated\n"
-            << "  -h, --help               this text\n"
-            << "  -V, --version            the version\n\n"
-            << "example:\n  " << usage.example << "\n\n"
-            << "exit codes: 0 ended as told, 1 could not run, 2 bad command line or settings\n";
+  std::cout
+      << usage.program << ": " << usage.summary << "\n\n"
+      << "usage: " << usage.program << " --settings FILE [--set SECTION.KEY=VALUE]...\n\n"
+      << "  -s, --settings FILE      settings in INI (docs/operators/settings.md)\n"
+      << "      --set SECTION.KEY=V  replaces one setting; may be repeated\n"
+      << "  -h, --help               this text\n"
+      << "  -V, --version            the version\n\n"
+      << "example:\n  " << usage.example << "\n\n"
+      << "exit codes: 0 stopped as requested, 1 failed to run, 2 bad command line or settings\n";
 }
 
 }  // namespace
--- a/src/common/command_line.h
+++ b/src/common/command_line.h
@@ -31,7 +31,7 @@
 /// Parses `section.key=value`; the section ends at the first dot.
 std::optional<SettingOverride> parse_override(const std::string& text);
 
-/// Result of reading the command line: settings to go on with, or an exit code.
+/// Result of reading the command line: settings to run with, or an exit code.
 struct DaemonStart {
   std::unique_ptr<Settings> settings;
   int exit_code = kExitOk;
--- a/src/common/daemon_main.h
+++ b/src/common/daemon_main.h
@@ -14,11 +14,11 @@
 
 namespace pumicemast {
 
-/// Reads the command line, settings and charts, refuses them with all findings, and runs the
-/// daemon until its end.
+/// Reads the command line, settings and charts, and runs the daemon until it ends. Faulty input is
+/// refused with a report of all findings.
 /// @tparam Daemon          has Daemon(DaemonSettings, Charts, EventLoop&), start(), terminate().
 /// @tparam DaemonSettings  has read(Settings&), process_name() and charts; with a member
-///                         kLogsDecisions it logs to standard output, without waiting.
+///                         kLogsDecisions it logs to standard output, without blocking.
 template <class Daemon, class DaemonSettings>
 int run_daemon(int argc, char** argv, const DaemonUsage& usage) {
   Findings findings;
@@ -44,7 +44,7 @@
         if constexpr (requires { daemon.reload(DaemonSettings()); }) {
           reloader = std::make_unique<SettingsReloader>(start.settings->path(), loop, [&] {
             Findings found;
-            // The same command line: overrides hold for the changed file as well.
+            // Parse the command line again: its overrides also apply to the changed file.
             optind = 1;
             const DaemonStart again = start_daemon(argc, argv, usage, found);
             if (again.should_exit()) return;
--- a/src/common/error.h
+++ b/src/common/error.h
@@ -8,23 +8,23 @@
 
 namespace leaf = boost::leaf;
 
-/// What went wrong, in the classes a caller acts upon.
+/// Classes of failures that callers handle differently.
 enum class ErrorCode {
-  invalid_argument,  ///< The input is wrong; repeating it cannot help.
+  invalid_argument,  ///< The input is wrong; a retry cannot succeed.
   not_found,         ///< The named object does not exist.
-  conflict,          ///< Another change came first; read again before repeating.
-  unavailable,       ///< Not done; may be repeated later.
-  unknown_outcome,   ///< May or may not have been done; read back before repeating.
+  conflict,          ///< Another change came first; read again before a retry.
+  unavailable,       ///< Not done; may be retried later.
+  unknown_outcome,   ///< May or may not have been done; read back before a retry.
 };
 
-/// Name of `code` as it appears in JSON answers and logs.
+/// Name of `code` as it appears in JSON responses and logs.
 const char* to_string(ErrorCode code);
 
 /// One failure: its class, where it arose and why.
 struct Error {
   ErrorCode code = ErrorCode::invalid_argument;
   std::string place;   ///< File, object or command part the failure belongs to.
-  std::string reason;  ///< One sentence for a person.
+  std::string reason;  ///< One sentence for operators.
 };
 
 /// Runs `function`, which returns leaf::result<T>, and hands a failure to `on_error(Error)`.
--- a/src/common/event_loop.cpp
+++ b/src/common/event_loop.cpp
@@ -91,7 +91,7 @@
 void Timer::bring_forward(Duration by) {
   GSource* source = g_main_context_find_source_by_id(nullptr, source_);
   if (source == nullptr) return;
-  // A negative time would mean never.
+  // A negative ready time would disable the source.
   const gint64 due = g_source_get_ready_time(source) - by.count();
   g_source_set_ready_time(source, std::max<gint64>(0, due));
 }
--- a/src/common/event_loop.h
+++ b/src/common/event_loop.h
@@ -9,11 +9,11 @@
 
 namespace pumicemast {
 
-/// Time of the running process: it never goes back, and runs on while the machine is suspended.
+/// Monotonic time of this process, which includes suspensions of the machine.
 TimePoint loop_now();
 
-/// Timers were begun before the machine was suspended: what is due by loop_now() fires now, and not
-/// later by the time that it slept. Each timer that fires looks for that itself.
+/// Brings all active timers forward by the time that the machine was suspended; otherwise they
+/// would fire that much later than loop_now() says. Each timer calls this when it fires.
 void compensate_for_suspension();
 
 /// Runs the default main context until quit().
@@ -24,9 +24,9 @@
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  /// Calls `on_terminate` once at SIGTERM or SIGINT; a second signal quits at once.
+  /// Calls `on_terminate` once at SIGTERM or SIGINT; a second signal quits the loop immediately.
   void on_terminate(std::function<void()> on_terminate);
-  /// Calls `on_hangup` at each SIGHUP, which otherwise ends a process.
+  /// Calls `on_hangup` at each SIGHUP, which by default terminates a process.
   void on_hangup(std::function<void()> on_hangup);
   void run();
   void quit();
@@ -41,8 +41,8 @@
   bool terminating_ = false;
 };
 
-/// A timer owned by its object; destroying it cancels it. Its time runs on while the machine is
-/// suspended; one that falls due meanwhile fires once, soon after.
+/// A timer that its destruction cancels. Its time includes suspensions of the machine; a timer that
+/// falls due during one fires once, soon after the machine resumes.
 class Timer {
  public:
   Timer() = default;
--- a/src/common/log.cpp
+++ b/src/common/log.cpp
@@ -20,7 +20,7 @@
   }
 };
 
-/// Lines beyond this many gathered bytes are left out: the reader has stopped reading.
+/// While more bytes than this are buffered, the reader has fallen behind and new lines are dropped.
 constexpr std::size_t kBufferLimitBytes = 256U * 1024U;
 
 struct BufferedLines {
--- a/src/common/log_budget.h
+++ b/src/common/log_budget.h
@@ -1,6 +1,6 @@
-/// Bounds how many log lines of each kind a process writes a second.
+/// Limits the log lines of each kind that a process writes per second.
 ///
-/// A decision core: no I/O. What is left out is counted, so that a reader knows of it.
+/// A decision core: no I/O. Suppressed lines are counted, so that the log can state their number.
 #pragma once
 
 #include <cstdint>
@@ -33,7 +33,7 @@
     return false;
   }
 
-  /// Kinds with lines left out since the last call, and how many.
+  /// Kinds with lines suppressed since the last call, and their number.
   std::vector<std::pair<std::string, std::uint64_t>> take_suppressed() {
     std::vector<std::pair<std::string, std::uint64_t>> result;
     for (auto& [name, state] : kinds_) {
--- a/src/common/metrics.cpp
+++ b/src/common/metrics.cpp
@@ -5,7 +5,7 @@
 namespace pumicemast {
 namespace {
 
-/// From well under the time between two tokens to a long generation.
+/// From well below the time between two tokens to the time of a long generation.
 const prometheus::Histogram::BucketBoundaries kSecondsBuckets{
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 1.6, 2.5, 5, 10, 30, 60, 120, 300};
 
--- a/src/common/recent_maximum.h
+++ b/src/common/recent_maximum.h
@@ -1,4 +1,4 @@
-/// The largest value that was noted within a while.
+/// The largest value noted within a recent time window.
 #pragma once
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 
 namespace pumicemast {
 
-/// Remembers for at least `window`, for at most twice as long.
+/// Each value counts for at least `window` and at most twice as long.
 class RecentMaximum {
  public:
   explicit RecentMaximum(Duration window) : window_(window) {}
--- a/src/common/recent_set.h
+++ b/src/common/recent_set.h
@@ -1,4 +1,4 @@
-/// Remembers what came within the last span, in bounded memory.
+/// Set of the keys added within a recent span, in bounded memory.
 #pragma once
 
 #include <cstddef>
@@ -37,7 +37,7 @@
 
   Duration span_;
   std::size_t capacity_;
-  TimePoint rotated_at_{};  ///< When the newer keys began to be gathered.
+  TimePoint rotated_at_{};  ///< When `newer_` was last started.
   Keys newer_;
   Keys older_;
 };
--- a/src/common/request_limits.h
+++ b/src/common/request_limits.h
@@ -1,4 +1,4 @@
-/// Bounds on what a caller may send in one request.
+/// Size limits of a caller's request.
 #pragma once
 
 #include <cstddef>
--- a/src/common/settings.cpp
+++ b/src/common/settings.cpp
@@ -40,7 +40,7 @@
   return number;
 }
 
-/// GKeyFile forgets line numbers; this records them for the findings.
+/// Line numbers for findings; GKeyFile does not keep them.
 std::map<std::pair<std::string, std::string>, int> key_lines(const std::string& path) {
   std::map<std::pair<std::string, std::string>, int> lines;
   std::ifstream stream(path);
--- a/src/common/settings.h
+++ b/src/common/settings.h
@@ -1,7 +1,7 @@
 /// Checked INI settings on top of GKeyFile.
 ///
 /// Every reader records a finding instead of failing, so that one start shows all
-/// faults of a file. A key that no reader asked for is a finding too.
+/// faults of a file. A key that no reader requested is a finding too.
 #pragma once
 
 #include <glib.h>
@@ -19,7 +19,7 @@
 
 namespace pumicemast {
 
-/// An IP number and port. Host names are refused: processes talk by IP numbers.
+/// An IP address and port. Host names are refused: processes connect by IP address.
 struct Address {
   std::string host;
   std::uint16_t port = 0;
@@ -28,7 +28,7 @@
   auto operator<=>(const Address&) const = default;
 };
 
-/// Parses `IP:PORT`; nullopt unless the host is an IPv4 number and the port is 1-65535.
+/// Parses `IP:PORT`; nullopt unless the host is an IP address and the port is 1-65535.
 std::optional<Address> parse_address(const std::string& text);
 
 /// Inclusive bounds of a whole-number setting.
@@ -37,7 +37,7 @@
   std::int64_t maximum;
 };
 
-/// Reads one INI file and remembers which keys were asked for.
+/// Reads one INI file and remembers which keys were requested.
 class Settings {
  public:
   /// Loads `path`. An unreadable or unparsable file is a finding.
@@ -71,7 +71,7 @@
   void require(bool condition, const std::string& section, const std::string& key,
                const std::string& reason);
 
-  /// Reports sections and keys that no reader asked for. Call after all readers.
+  /// Reports keys that no reader requested. Call after all readers.
   void report_unknown();
 
   const std::string& path() const { return path_; }
--- a/src/common/settings_reloader.h
+++ b/src/common/settings_reloader.h
@@ -1,4 +1,4 @@
-/// Tells when a settings file has changed, by a signal or without one.
+/// Reloads a settings file on SIGHUP, or when a periodic check finds it changed.
 #pragma once
 
 #include <sys/stat.h>
@@ -12,7 +12,7 @@
 
 class SettingsReloader {
  public:
-  /// @param on_changed  reads the file anew; called from the loop.
+  /// @param on_changed  reads the file again; called from the loop.
   SettingsReloader(std::string path, EventLoop& loop, std::function<void()> on_changed)
       : path_(std::move(path)), on_changed_(std::move(on_changed)) {
     changed();
@@ -28,7 +28,7 @@
  private:
   static constexpr Duration kCheckInterval = seconds(2);
 
-  /// Whether the file is another one than at the last look.
+  /// Whether the file differs from the last check.
   bool changed() {
     struct stat state {};
     if (stat(path_.c_str(), &state) != 0) return false;
--- a/src/common/state_chart.h
+++ b/src/common/state_chart.h
@@ -2,7 +2,8 @@
 ///
 /// A chart file has a `[chart]` section (`name`, `initial`) and one section per state
 /// whose keys are events and whose values are the next states. A chart that names an
-/// unknown state or event, or has an unreachable state, is refused with its place.
+/// unknown state or event, or has an unreachable state, is refused with the file and section at
+/// fault.
 #pragma once
 
 #include <map>
@@ -13,7 +14,7 @@
 
 namespace pumicemast {
 
-/// What the code expects of a chart: every state and event it has a meaning for.
+/// The states and events that the code knows for a chart.
 struct ChartVocabulary {
   std::string name;
   std::vector<std::string> states;
@@ -28,9 +29,9 @@
                          Findings& findings);
 
   const std::string& initial() const { return initial_; }
-  /// The state after `event` in `state`, or `state` itself when the event has no meaning there.
+  /// The state after `event` in `state`, or `state` itself when `state` has no transition for it.
   const std::string& next(const std::string& state, const std::string& event) const;
-  /// Whether `event` moves `state` anywhere.
+  /// Whether `state` has a transition for `event`.
   bool accepts(const std::string& state, const std::string& event) const;
 
  private:
--- a/src/common/time.h
+++ b/src/common/time.h
@@ -1,4 +1,4 @@
-/// Monotonic time as the decision cores see it.
+/// Monotonic time of the decision cores.
 ///
 /// Cores never read a clock: the owning loop passes the current TimePoint in.
 /// Daemons take it from common/clock.h, the simulator from virtual time.
--- a/tests/common/event_loop_test.cpp
+++ b/tests/common/event_loop_test.cpp
@@ -28,7 +28,7 @@
     CPPUNIT_ASSERT(loop_now() - before < seconds(8));
   }
 
-  // With a steady clock alone it would fire 60 s later.
+  // On CLOCK_MONOTONIC alone the timer would fire 60 s later.
   void what_fell_due_during_a_suspension_fires_soon_after() {
     Timer tick;
     Timer timeout;
@@ -75,7 +75,7 @@
     CPPUNIT_ASSERT(detector.on_reading({now + milliseconds(5), now}) == Duration::zero());
     CPPUNIT_ASSERT(detector.on_reading({now + seconds(3), now}) == seconds(3));
     CPPUNIT_ASSERT(detector.on_reading({now + seconds(5), now + seconds(2)}) == Duration::zero());
-    // Small ones add up.
+    // Differences below the minimum add up until they exceed it.
     CPPUNIT_ASSERT(detector.on_reading({now + milliseconds(5015), now + seconds(2)}) ==
                    Duration::zero());
     CPPUNIT_ASSERT(detector.on_reading({now + milliseconds(5030), now + seconds(2)}) ==
@@ -85,7 +85,7 @@
  private:
   static constexpr Duration kTick = milliseconds(20);
 
-  /// On the loop, awake.
+  /// Runs the loop for `length`, without a suspension.
   static void run_for(Duration length) {
     const TimePoint end = loop_now() + length;
     while (loop_now() < end) g_main_context_iteration(nullptr, FALSE);
