--- a/src/adapters/caller_api.cpp
+++ b/src/adapters/caller_api.cpp
@@ -16,7 +16,7 @@
 
 constexpr std::size_t kAffinityPrefixBytes = 512;
 constexpr std::size_t kMaximumHeaderLength = 256;
-constexpr std::int64_t kLongestDeadlineMs = 24LL * 3600 * 1000;
+constexpr std::int64_t kMaximumDeadlineMs = 24LL * 3600 * 1000;
 constexpr char kDefaultTenant[] = "default";
 
 Error invalid(const std::string& place, const std::string& reason) {
@@ -61,7 +61,7 @@
   const char* end = deadline.data() + deadline.size();
   const auto [stop, failure] = std::from_chars(deadline.data(), end, deadline_ms);
   if (failure != std::errc() || stop != end || deadline_ms < 1 ||
-      deadline_ms > kLongestDeadlineMs) {
+      deadline_ms > kMaximumDeadlineMs) {
     return leaf::new_error(invalid("X-Deadline-Ms", "must be 1 to 86400000 milliseconds"));
   }
   request.deadline = milliseconds(deadline_ms);
@@ -87,7 +87,7 @@
     return leaf::new_error(invalid(is_chat ? "messages" : "prompt", "is missing"));
   }
   const std::string prefix = prompt->dump().substr(0, kAffinityPrefixBytes);
-  request.affinity = stable_hash(prefix) | 1U;  // 0 stands for none.
+  request.affinity = stable_hash(prefix) | 1U;  // 0 means no affinity.
   return {};
 }
 
--- a/src/adapters/caller_api.h
+++ b/src/adapters/caller_api.h
@@ -1,8 +1,8 @@
-/// The interface towards callers: the usual model API and plain services.
+/// The interface to callers: the usual model API and plain services.
 ///
 /// Request headers:  X-Request-Id, Idempotency-Key, X-Non-Repeatable: true, X-Tenant,
 ///                   X-Deadline-Ms (time left in milliseconds)
-/// Answer headers:   X-Request-Id, X-Outcome (completed, not-run, unknown), Retry-After
+/// Response headers: X-Request-Id, X-Outcome (completed, not-run, unknown), Retry-After
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
 constexpr char kOutcomeNotRun[] = "not-run";
 constexpr char kOutcomeUnknown[] = "unknown";
 
-/// A caller's request, read but not yet judged.
+/// A caller's request, parsed but not yet admitted.
 struct CallerRequest {
   std::string request_id;
   std::string tenant;
@@ -37,11 +37,11 @@
   std::uint64_t affinity = 0;  ///< Hash of the beginning of the prompt.
 };
 
-/// An error answer in the model API's shape, with the outcome.
+/// An error response in the model API's format, with the outcome.
 struct CallerError {
   unsigned status = 500;
   std::string type;     ///< For instance "rate_limit_error".
-  std::string code;     ///< Stable, for programs.
+  std::string code;     ///< Stable identifier for programs.
   std::string message;  ///< For people.
   std::string outcome = kOutcomeNotRun;
   Duration retry_after = Duration::zero();
@@ -53,7 +53,7 @@
 /// Refuses with a JSON body that repeats the outcome.
 void respond_error(HttpExchange& exchange, const std::string& request_id, const CallerError& error);
 
-/// The event that ends a streamed answer which cannot be completed.
+/// The event that ends a streamed response which cannot be completed.
 std::string stream_error_event(const CallerError& error);
 
 /// The body of GET /v1/models.
--- a/src/adapters/configuration_watcher.cpp
+++ b/src/adapters/configuration_watcher.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr Duration kWatchWait = seconds(20);
-constexpr std::int64_t kFirstRetryMs = 200;
-constexpr std::int64_t kLongestRetryMs = 2000;
+constexpr std::int64_t kInitialRetryMs = 200;
+constexpr std::int64_t kMaximumRetryMs = 2000;
 constexpr std::uint32_t kMaximumDoublings = 8;
 
 }  // namespace
@@ -22,7 +22,7 @@
 
 void ConfigurationWatcher::start() { list(); }
 
-void ConfigurationWatcher::note_reachable(bool reachable) {
+void ConfigurationWatcher::set_reachable(bool reachable) {
   if (reachable) failures_ = 0;
   if (reachable == reachable_) return;
   reachable_ = reachable;
@@ -30,11 +30,12 @@
 }
 
 void ConfigurationWatcher::retry_later() {
-  note_reachable(false);
-  const std::int64_t doubled = kFirstRetryMs << std::min(failures_++, kMaximumDoublings);
-  const std::int64_t limit_ms = std::min(doubled, kLongestRetryMs);
-  // Full jitter: the fleet must not return in step after an outage.
-  const std::int64_t delay_ms = kFirstRetryMs / 2 + static_cast<std::int64_t>(random_()) % limit_ms;
+  set_reachable(false);
+  const std::int64_t doubled = kInitialRetryMs << std::min(failures_++, kMaximumDoublings);
+  const std::int64_t limit_ms = std::min(doubled, kMaximumRetryMs);
+  // Full jitter keeps processes from retrying at the same moment after an outage.
+  const std::int64_t delay_ms =
+      kInitialRetryMs / 2 + static_cast<std::int64_t>(random_()) % limit_ms;
   timer_.start_once(milliseconds(delay_ms), [this] { listed_ ? watch() : list(); });
 }
 
@@ -46,7 +47,7 @@
     }
     listed_ = true;
     revision_ = result.revision;
-    note_reachable(true);
+    set_reachable(true);
     callbacks_.on_listing(result.revision, result.objects);
     watch();
   });
@@ -58,7 +59,7 @@
       retry_later();
       return;
     }
-    note_reachable(true);
+    set_reachable(true);
     if (result.expired) {
       listed_ = false;
       list();
--- a/src/adapters/configuration_watcher.h
+++ b/src/adapters/configuration_watcher.h
@@ -1,5 +1,5 @@
-/// Keeps a process's configuration up to date from the object API: one listing, then one
-/// waiting watch, with back-off while the API is down or refuses.
+/// Keeps a process's configuration up to date from the object API: one listing, then repeated
+/// long polls, with backoff while the API is down or refuses.
 #pragma once
 
 #include <functional>
@@ -17,12 +17,13 @@
   struct Callbacks {
     std::function<void(std::uint64_t revision, const std::vector<StoredObject>&)> on_listing;
     std::function<void(std::uint64_t revision, const std::vector<StoredObject>&)> on_events;
-    /// The API began (true) or ceased (false) to answer.
+    /// The API has become reachable (true) or unreachable (false).
     std::function<void(bool reachable)> on_reachability;
   };
 
-  /// @param pause  shortest time between two watches: changes within it share one read, which
-  ///               bounds the reads that many processes cost the platform together.
+  /// @param pause  minimum time between two watches: changes within it share one read, which limits
+  /// the
+  ///               load of many processes on the platform.
   ConfigurationWatcher(ObjectStore& store, std::vector<std::string> kinds, Duration pause,
                        Callbacks callbacks, std::uint64_t seed);
   void start();
@@ -32,7 +33,7 @@
   void list();
   void watch();
   void retry_later();
-  void note_reachable(bool reachable);
+  void set_reachable(bool reachable);
 
   ObjectStore& store_;
   std::vector<std::string> kinds_;
--- a/src/adapters/engine_client.cpp
+++ b/src/adapters/engine_client.cpp
@@ -12,7 +12,7 @@
 constexpr unsigned kOk = 200;
 constexpr unsigned kConflict = 409;
 constexpr Duration kControlTimeout = seconds(30);
-/// Longest silence between two tokens before a request counts as failed.
+/// Longest time between two tokens before a request counts as failed.
 constexpr Duration kRequestTimeout = seconds(120);
 
 EngineState parse_state(const std::string& body) {
--- a/src/adapters/engine_client.h
+++ b/src/adapters/engine_client.h
@@ -1,7 +1,7 @@
 /// A language-model engine or plain service on the same machine, over HTTP.
 ///
 /// Engine control:
-/// GET  /admin/state                                what it holds and serves
+/// GET  /admin/state                                the weights it holds and serves
 /// PUT  /admin/manifest?digest=D                    opens staging memory for a version
 /// PUT  /admin/chunk?digest=D&chunk=I               writes one chunk into staging memory
 /// GET  /admin/chunk?digest=D&chunk=I               reads a chunk back, staged or serving
@@ -9,8 +9,8 @@
 /// POST /admin/drop?digest=D&fence=F                frees a version that does not serve
 /// A fence lower than one seen before is refused with 409 by engines that check it.
 ///
-/// What this assumes of an engine (docs/design/weights.md): it keeps a version that is being
-/// written apart from the one that serves, and reads written chunks back on demand.
+/// Requirements on an engine (docs/design/weights.md): it keeps a version that is being written
+/// separate from the one that serves, and reads written chunks back on demand.
 #pragma once
 
 #include <cstdint>
@@ -31,7 +31,7 @@
 
 struct EngineState {
   bool answered = false;
-  std::string incarnation;  ///< Changes when the engine restarts and has lost its memory.
+  std::string incarnation;  ///< Changes with each restart, which loses the engine's memory.
   std::uint64_t memory_bytes = 0;
   std::map<std::string, EngineServing> serving;  ///< By model.
   std::map<std::string, ChunkSet> held;          ///< Chunks by digest.
@@ -44,7 +44,7 @@
   std::string reason;
 };
 
-/// Every call answers exactly once, unless the client is destroyed first.
+/// Every call runs its callback exactly once, unless the client is destroyed first.
 class EngineClient {
  public:
   explicit EngineClient(std::string base_url);
--- a/src/adapters/object_store_client.cpp
+++ b/src/adapters/object_store_client.cpp
@@ -38,7 +38,7 @@
   return objects;
 }
 
-/// Runs `parse` on the answer's JSON; an ill-formed answer counts as no answer.
+/// Runs `parse` on the response's JSON; a malformed response counts as none.
 template <class Result, class Parse>
 Result parsed(const HttpResponse& response, Parse parse) {
   Result result;
@@ -90,7 +90,7 @@
   request.url = base_url_ + path;
   if (!body.empty()) request.content_type = "application/json";
   request.body = body;
-  // A write resent after a lost answer would meet its own effect as a conflict.
+  // A write resent after a lost response would conflict with its own first attempt.
   request.send_once = method != "GET";
   client_.fetch_owned(request, std::move(on_done));
 }
--- a/src/adapters/object_store_client.h
+++ b/src/adapters/object_store_client.h
@@ -3,9 +3,9 @@
 /// GET  /v1/objects?kinds=A,B             all objects of these kinds at one revision
 /// GET  /v1/object?kind=K&name=N          one object
 /// PUT  /v1/object?kind=K&name=N&expected=V   conditional update (0: must not exist)
-/// DELETE, likewise
-/// GET  /v1/watch?kinds=A,B&after=R&wait_ms=W  events after revision R, waiting for some
-/// GET  /v1/machines                      live and leaving machines; lags
+/// DELETE /v1/object?kind=K&name=N&expected=V   conditional deletion
+/// GET  /v1/watch?kinds=A,B&after=R&wait_ms=W  events after revision R; waits up to W ms
+/// GET  /v1/machines                      live and leaving machines; may be outdated
 #pragma once
 
 #include <functional>
--- a/src/adapters/url.h
+++ b/src/adapters/url.h
@@ -7,7 +7,7 @@
 
 namespace pumicemast {
 
-/// Escapes everything that is not unreserved.
+/// Percent-encodes every character outside the unreserved set of RFC 3986.
 inline std::string url_escape(const std::string& text) {
   gchar* escaped = g_uri_escape_string(text.c_str(), nullptr, FALSE);
   std::string result = escaped;
--- a/src/adapters/weight_store_client.cpp
+++ b/src/adapters/weight_store_client.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr unsigned kOk = 200;
-/// The origin answers at its own pace; a queue there is no failure.
+/// Long, because the origin limits its rate: a request queued there has not failed.
 constexpr Duration kTimeout = seconds(120);
 constexpr Duration kDefaultRetryAfter = seconds(1);
 
--- a/src/adapters/weight_store_client.h
+++ b/src/adapters/weight_store_client.h
@@ -23,7 +23,7 @@
  public:
   explicit WeightStoreClient(std::string base_url);
 
-  /// The returned call must be kept until `on_done` ran; dropping it cancels.
+  /// The returned call must be kept until `on_done` has run; dropping it cancels the request.
   HttpCallPointer read_manifest(const std::string& digest,
                                 std::function<void(const WeightReadResult&)> on_done);
   HttpCallPointer read_chunk(const std::string& hash,
