--- a/src/ctl/command_client.cpp
+++ b/src/ctl/command_client.cpp
@@ -58,17 +58,18 @@
       CommandAnswer answer;
       answer.exit_code = exit_code_of(response.status);
       answer.document = json::parse(response.body, nullptr, false);
-      on_done(answer.document.is_object() ? answer
-                                          : unanswered(true, "the entry's answer is not JSON"));
+      on_done(answer.document.is_object()
+                  ? answer
+                  : unanswered(true, "the entry's answer is not a JSON object"));
       return;
     }
-    // Another entry may be asked only if this one cannot have changed anything.
-    const bool may_go_on = query || response.never_sent;
-    if (may_go_on && index + 1 < entries_.size()) {
+    // Another entry may be tried only if this one cannot have changed anything.
+    const bool may_try_next = query || response.never_sent;
+    if (may_try_next && index + 1 < entries_.size()) {
       send(index + 1, body, query, on_done);
       return;
     }
-    on_done(unanswered(!may_go_on, response.failure));
+    on_done(unanswered(!may_try_next, response.failure));
   });
 }
 
--- a/src/ctl/command_client.h
+++ b/src/ctl/command_client.h
@@ -14,14 +14,14 @@
 /// An entry's answer to a command.
 struct CommandAnswer {
   int exit_code = 0;
-  nlohmann::json document;  ///< As the entry sent it, or an error made here.
+  nlohmann::json document;  ///< As the entry sent it, or an error of the client.
 };
 
 class CommandClient {
  public:
   CommandClient(std::vector<Address> entries, std::string user);
 
-  /// Runs the loop until the answer is there.
+  /// Runs the event loop until the answer arrives.
   CommandAnswer run(const std::vector<std::string>& words);
 
  private:
--- a/src/ctl/ctl_options.cpp
+++ b/src/ctl/ctl_options.cpp
@@ -14,9 +14,9 @@
 namespace {
 
 constexpr std::int64_t kDefaultTimeoutMs = 600000;
-constexpr std::int64_t kLongestTimeoutMs = 86400000;
+constexpr std::int64_t kMaximumTimeoutMs = 86400000;
 
-constexpr char kHelp[] = R"(pumicemastctl: asks what is where and orders what should change
+constexpr char kHelp[] = R"(pumicemastctl: shows and changes the state of the system
 
 usage: pumicemastctl [OPTIONS] COMMAND WORD...
 
@@ -26,7 +26,7 @@
   explain MODEL MACHINE            why a replica is, or is not, live
   watch rollout MODEL              a progress line until the rollout ends
 
-changes (each takes expect=VERSION, the object's version it is meant for)
+changes (each takes expect=VERSION: fails unless the object has this version)
   publish MODEL VERSION DIRECTORY  hashes a directory, stores it at the origin
   create rollout MODEL VERSION [objective=time|origin_bytes] [max_unavailable=N]
                  [priority=N]
@@ -43,7 +43,7 @@
   -e, --entry IP:PORT[,IP:PORT]  operators' addresses of entries, tried in order
                                  (default: $PUMICEMAST_ENTRY)
   -o, --origin URL               origin of weights, for publish (default: $PUMICEMAST_ORIGIN)
-  -u, --user NAME                named in conflicts that others see (default: $USER)
+  -u, --user NAME                shown to others in conflicts (default: $USER)
       --chunk-bytes N            chunk size of publish (default: 4194304)
       --timeout-ms N             longest time for watch (default: 600000)
   -j, --json                     one JSON document instead of a table
@@ -138,8 +138,9 @@
         break;
       }
       case kTimeout: {
-        const auto number = parse_positive(optarg, kLongestTimeoutMs);
-        if (!number) return usage_error("--timeout-ms " + std::string(optarg) + " is not a time");
+        const auto number = parse_positive(optarg, kMaximumTimeoutMs);
+        if (!number)
+          return usage_error("--timeout-ms " + std::string(optarg) + " is not 1 to 86400000");
         options.timeout_ms = *number;
         break;
       }
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -29,7 +29,7 @@
   return table;
 }
 
-/// Rows as objects with the columns' names, for programs.
+/// Rows as JSON objects keyed by column name, for programs.
 json rows_as_objects(const Table& table) {
   json rows = json::array();
   for (const auto& row : table.rows) {
@@ -105,7 +105,7 @@
     return kExitUsage;
   }
   const bool terminal = isatty(STDOUT_FILENO) != 0;
-  const TimePoint give_up = loop_now() + milliseconds(options.timeout_ms);
+  const TimePoint deadline = loop_now() + milliseconds(options.timeout_ms);
   std::string last;
   while (true) {
     const CommandAnswer answer =
@@ -128,7 +128,7 @@
       if (terminal) std::cout << "\n";
       return kExitOk;
     }
-    if (loop_now() >= give_up) {
+    if (loop_now() >= deadline) {
       std::cerr << "pumicemastctl: the rollout is still " << state << "\n";
       return kExitUnavailable;
     }
--- a/src/ctl/publisher.cpp
+++ b/src/ctl/publisher.cpp
@@ -8,7 +8,7 @@
 
 constexpr int kStoreAttempts = 5;
 
-/// Runs one write to its answer, again after failures.
+/// Runs one write to the origin and retries it after failures.
 template <class Write>
 leaf::result<void> store(const std::string& place, Write write) {
   for (int attempt = 1; attempt <= kStoreAttempts; ++attempt) {
@@ -37,7 +37,7 @@
       return origin.write_chunk(hash, bytes, std::move(on_done));
     }));
   }
-  // The manifest last: whoever sees it finds every chunk.
+  // The manifest is stored last, so that every chunk of a published manifest exists.
   BOOST_LEAF_CHECK(store("manifest", [&](std::function<void(bool)> on_done) {
     return origin.write_manifest(manifest.digest(), manifest.serialize(), std::move(on_done));
   }));
