--- a/src/ctl/publisher.h
+++ b/src/ctl/publisher.h
@@ -8,8 +8,8 @@
 
 namespace pumicemast {
 
-/// Hashes `directory` and stores its chunks and manifest at the origin. Chunks that
-/// exist there already are sent again. A failure names the file or the object not stored.
+/// Hashes `directory` and stores its chunks and manifest at the origin. Chunks that exist there
+/// already are sent again, but not stored twice. A failure names the file or the object at fault.
 leaf::result<Manifest> publish_directory(const std::string& directory,
                                          const std::string& origin_url, std::uint32_t chunk_bytes);
 
