--- a/src/lease/lease_keeper.cpp
+++ b/src/lease/lease_keeper.cpp
@@ -28,7 +28,7 @@
   const bool was_outstanding = outstanding_ && record->attempt == outstanding_->attempt;
   record_ = *record;
   if (was_outstanding) {
-    // Our own write took effect although its answer is late or lost.
+    // This process's own write took effect although its response is late or lost.
     held_from_ = outstanding_sent_;
     outstanding_.reset();
     if (state_ == "FOLLOWING") step("expired");
--- a/src/lease/lease_keeper.h
+++ b/src/lease/lease_keeper.h
@@ -1,10 +1,10 @@
-/// Takes, renews and gives up one lease that is kept in the platform's object API.
+/// Acquires, renews and gives up one lease that is kept in the platform's object API.
 ///
 /// A decision core: no I/O. Safety rests on two rules. The holder counts its deadline from
 /// the time at which it *sent* the write that succeeded, less a margin; followers count
 /// expiry from the time at which they *saw* that write. A holder that was paused past its
-/// deadline therefore stops acting; what it had in flight is caught by the term, which is
-/// checked as a fence by conditional updates and by engines.
+/// deadline therefore stops acting; its orders still in flight are refused by their term, which
+/// conditional updates and engines check as a fence.
 #pragma once
 
 #include <optional>
@@ -40,14 +40,14 @@
 
   /// The lease object was read or a watch delivered it; null when it does not exist.
   void on_record(const LeaseRecord* record, ObjectVersion version, TimePoint now);
-  /// The answer to the last WriteLease; `version` is the new one when applied.
+  /// The result of the last WriteLease; `version` is the new one when applied.
   void on_write_result(WriteOutcome outcome, ObjectVersion version, TimePoint now);
   /// Call several times per renew interval. At most one write is outstanding.
   std::optional<WriteLease> on_tick(TimePoint now);
 
   /// Whether this process may act as holder at `now`.
   bool holds(TimePoint now) const;
-  /// Term of the lease while held; the fence of everything decided under it.
+  /// Term of the lease while held; the fence of all decisions under it.
   std::uint64_t term() const { return record_.term; }
   const std::string& state() const { return state_; }
   /// Holder as last seen, "" when none was.
--- a/tests/lease/lease_keeper_test.cpp
+++ b/tests/lease/lease_keeper_test.cpp
@@ -19,7 +19,7 @@
   return options;
 }
 
-/// The object API's one lease object.
+/// Stand-in for the lease object in the object API.
 struct LeaseObject {
   std::optional<LeaseRecord> record;
   ObjectVersion version = 0;
@@ -41,8 +41,8 @@
   CPPUNIT_TEST(takes_a_vacant_lease_and_renews_it);
   CPPUNIT_TEST(waits_the_whole_ttl_after_the_last_change);
   CPPUNIT_TEST(a_paused_holder_stops_by_its_own_clock);
-  CPPUNIT_TEST(a_lost_answer_is_settled_by_reading_back);
-  CPPUNIT_TEST(holding_counts_from_the_sending_of_the_write);
+  CPPUNIT_TEST(a_lost_response_is_resolved_by_reading_back);
+  CPPUNIT_TEST(the_deadline_counts_from_the_sending_of_the_write);
   CPPUNIT_TEST(never_two_holders_under_random_faults);
   CPPUNIT_TEST_SUITE_END();
 
@@ -87,7 +87,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("FOLLOWING"), keeper.state());
   }
 
-  void a_lost_answer_is_settled_by_reading_back() {
+  void a_lost_response_is_resolved_by_reading_back() {
     LeaseKeeper keeper(tests::charts().lease, options_of("a"));
     LeaseObject object;
     object.show_to(keeper, at(0));
@@ -100,18 +100,18 @@
     CPPUNIT_ASSERT(!keeper.holds(at(4500)));
   }
 
-  void holding_counts_from_the_sending_of_the_write() {
+  void the_deadline_counts_from_the_sending_of_the_write() {
     LeaseKeeper keeper(tests::charts().lease, options_of("a"));
     LeaseObject object;
     object.show_to(keeper, at(0));
     const auto write = keeper.on_tick(at(0));
     CPPUNIT_ASSERT(object.write(*write));
-    keeper.on_write_result(WriteOutcome::applied, object.version, at(4450));  // A slow answer.
+    keeper.on_write_result(WriteOutcome::applied, object.version, at(4450));  // A slow response.
     CPPUNIT_ASSERT(keeper.holds(at(4450)));
     CPPUNIT_ASSERT(!keeper.holds(at(4500)));
   }
 
-  /// Many candidates, lost answers, delays and pauses: at no time do two hold the lease.
+  /// Many candidates, lost responses, delays and pauses: at no time do two hold the lease.
   void never_two_holders_under_random_faults() {
     for (unsigned seed = 1; seed <= 200; ++seed) {
       std::mt19937 random(seed);
