--- a/src/weights/manifest.cpp
+++ b/src/weights/manifest.cpp
@@ -36,7 +36,7 @@
   Sha256Stream stream;
   stream.update("pumicemast-manifest-1\n" + std::to_string(chunk_bytes) + "\n");
   for (const ManifestFile& file : files) {
-    // Lengths come first, so that no path can imitate another list of files.
+    // Each path is preceded by its length, so that no path can imitate another list of files.
     stream.update(std::to_string(file.path.size()) + ":" + file.path + "=" +
                   std::to_string(file.bytes) + "\n");
   }
@@ -123,7 +123,7 @@
   return document.dump();
 }
 
-ChunkPlace Manifest::place(ChunkIndex chunk) const {
+ChunkLocation Manifest::place(ChunkIndex chunk) const {
   // The last file whose first chunk is not after `chunk`; empty files own no chunk.
   std::size_t file = 0;
   for (std::size_t index = 0; index < files_.size(); ++index) {
@@ -177,7 +177,7 @@
 
 leaf::result<std::string> read_chunk(const std::string& directory, const Manifest& manifest,
                                      ChunkIndex chunk) {
-  const ChunkPlace place = manifest.place(chunk);
+  const ChunkLocation place = manifest.place(chunk);
   const std::string& path = manifest.files()[place.file].path;
   std::ifstream stream(directory + "/" + path, std::ios::binary);
   stream.seekg(static_cast<std::streamoff>(place.offset));
--- a/src/weights/manifest.h
+++ b/src/weights/manifest.h
@@ -2,7 +2,7 @@
 ///
 /// Files are cut into chunks that never cross a file's end, so that a file which two
 /// versions share also shares its chunks. The manifest's digest covers every path, size
-/// and chunk hash; two versions with one digest are the same bytes.
+/// and chunk hash; versions with equal digests have identical content.
 #pragma once
 
 #include <cstdint>
@@ -28,18 +28,18 @@
   ChunkIndex first_chunk = 0;  ///< Index of its first chunk; derived, not serialized.
 };
 
-/// Where a chunk lies in its file.
-struct ChunkPlace {
+/// File and offset of a chunk.
+struct ChunkLocation {
   std::size_t file = 0;
   std::uint64_t offset = 0;
   std::uint32_t bytes = 0;
 };
 
-/// Checked and immutable.
+/// A validated, immutable manifest.
 class Manifest {
  public:
   /// Checks the parts and derives the digest. Fails with invalid_argument on an unsafe or
-  /// repeated path, a bad chunk size, or a chunk count that does not match the sizes.
+  /// repeated path, an invalid chunk size, or a chunk count that does not match the sizes.
   static leaf::result<Manifest> create(std::uint32_t chunk_bytes, std::vector<ManifestFile> files,
                                        std::vector<Sha256> chunk_hashes);
   /// Reads the JSON form. Fails as create() does, and when a stated digest differs.
@@ -52,7 +52,7 @@
   const std::vector<Sha256>& chunk_hashes() const { return chunk_hashes_; }
   ChunkIndex chunk_count() const { return static_cast<ChunkIndex>(chunk_hashes_.size()); }
   std::uint64_t total_bytes() const { return total_bytes_; }
-  ChunkPlace place(ChunkIndex chunk) const;
+  ChunkLocation place(ChunkIndex chunk) const;
   /// Whether `bytes` are exactly chunk `chunk`.
   bool verify(ChunkIndex chunk, std::string_view bytes) const;
 
@@ -71,7 +71,7 @@
 leaf::result<Manifest> manifest_of_directory(const std::string& directory,
                                              std::uint32_t chunk_bytes);
 
-/// Reads one chunk of a published directory. Fails when the file has changed size.
+/// Reads one chunk of a published directory. Fails when the chunk's content has changed.
 leaf::result<std::string> read_chunk(const std::string& directory, const Manifest& manifest,
                                      ChunkIndex chunk);
 
--- a/tests/weights/manifest_test.cpp
+++ b/tests/weights/manifest_test.cpp
@@ -38,7 +38,7 @@
   CPPUNIT_TEST(refuses_unsafe_and_inconsistent_manifests);
   CPPUNIT_TEST(never_crashes_on_any_text);
   CPPUNIT_TEST(digest_depends_on_content_and_paths);
-  CPPUNIT_TEST(says_when_a_file_changed_meanwhile);
+  CPPUNIT_TEST(reports_a_file_that_changed_while_published);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -128,7 +128,7 @@
     CPPUNIT_ASSERT(digest != manifest_of(third.path(), kMinimumChunkBytes)->digest());
   }
 
-  void says_when_a_file_changed_meanwhile() {
+  void reports_a_file_that_changed_while_published() {
     const tests::TemporaryFolder folder;
     folder.write("a", "before");
     const auto manifest = manifest_of(folder.path(), kMinimumChunkBytes);
