--- a/src/configuration/assignment_guard.h
+++ b/src/configuration/assignment_guard.h
@@ -1,15 +1,15 @@
-/// Lets a process take over only newer assignments.
+/// Lets a process apply only assignments that are not older than the newest one seen.
 #pragma once
 
 #include <cstdint>
 
 namespace pumicemast {
 
-/// Several entries send assignments, each at its own pace; one that lags behind, or that was
-/// cut off from the platform, must never bring an older configuration back into force.
+/// Several entries send assignments independently; an entry that lags behind, or that lost contact
+/// with the platform, must never bring an older configuration back into force.
 class AssignmentGuard {
  public:
-  /// @return whether an assignment of `revision` may take effect, and if so remembers it.
+  /// @return whether an assignment of `revision` may take effect; remembers it if so.
   bool accept(std::uint64_t revision) {
     if (revision < highest_) {
       ++refused_;
--- a/src/configuration/configuration_store.cpp
+++ b/src/configuration/configuration_store.cpp
@@ -45,8 +45,8 @@
 }
 
 void ConfigurationStore::apply_if_new(const StoredObject& object, ConfigurationChange& change) {
-  // After a listing the version of a deleted object is forgotten; a late event about it
-  // must not bring it back.
+  // A listing discards the versions of deleted objects; a late event about such an object must
+  // not restore it.
   const bool covered_by_listing = object.version <= revision_;
   if (covered_by_listing && !versions_.contains(object.kind + "/" + object.name)) {
     ++change.outdated;
--- a/src/configuration/configuration_store.h
+++ b/src/configuration/configuration_store.h
@@ -1,7 +1,7 @@
 /// The configuration in force at one process: the newest known state of every object.
 ///
-/// A decision core: no I/O. Versions only grow: an event or listing that is older than
-/// what is already in force is ignored, whatever order the platform delivers it in.
+/// A decision core: no I/O. Versions only grow: an event or listing that is older than the
+/// state in force is ignored, in whatever order the platform delivers them.
 #pragma once
 
 #include <map>
@@ -34,11 +34,11 @@
 template <class Object>
 using ObjectMap = std::map<std::string, Versioned<Object>>;
 
-/// What an update did; the owner turns it into counters and state-change lines.
+/// Effects of an update; the owner turns them into counters and state-change log lines.
 struct ConfigurationChange {
-  std::vector<std::string> changed;  ///< `kind/name` of each object that took a new version.
-  std::vector<Error> rejected;       ///< Ill-formed objects; their last good form stays.
-  std::uint32_t outdated = 0;        ///< Events ignored because something newer is in force.
+  std::vector<std::string> changed;  ///< `kind/name` of each object that changed its version.
+  std::vector<Error> rejected;       ///< Malformed objects; their last valid version stays.
+  std::uint32_t outdated = 0;        ///< Events and listings older than the state in force.
 };
 
 class ConfigurationStore {
@@ -52,7 +52,7 @@
 
   /// Highest revision up to which the view is complete.
   std::uint64_t revision() const { return revision_; }
-  /// Whether a listing was ever applied; before that nothing may be concluded from absence.
+  /// Whether a listing was ever applied; before that, a missing object may still exist.
   bool listed() const { return listed_; }
 
   template <class Object>
--- a/src/configuration/object_store.h
+++ b/src/configuration/object_store.h
@@ -1,4 +1,4 @@
-/// The platform's object API as the rest of the code sees it.
+/// Interface to the platform's object API.
 ///
 /// A pure interface: the daemons use adapters/ObjectStoreClient, tests and the simulator an
 /// object store in memory.
@@ -14,16 +14,16 @@
 
 namespace pumicemast {
 
-/// What became of a conditional write.
+/// Outcome of a conditional write.
 enum class WriteOutcome {
   applied,
   conflict,     ///< Another version was in force; not applied.
-  not_applied,  ///< Refused for rate or outage; certainly not applied.
-  unknown,      ///< No answer: may have been applied.
+  not_applied,  ///< Refused (rate limit, outage) or never sent; certainly not applied.
+  unknown,      ///< No response: may have been applied.
 };
 
 struct ObjectReadResult {
-  bool answered = false;  ///< false: the API could not be asked.
+  bool answered = false;  ///< false: the API gave no usable response.
   bool exists = false;
   StoredObject object;
 };
@@ -53,7 +53,7 @@
   std::set<std::string> leaving;
 };
 
-/// Every call answers exactly once, unless the store is destroyed first.
+/// Every call runs its callback exactly once, unless the store is destroyed first.
 class ObjectStore {
  public:
   virtual ~ObjectStore() = default;
@@ -74,7 +74,7 @@
   /// Deletes the object if it still has version `expected`.
   virtual void remove(const std::string& kind, const std::string& name, ObjectVersion expected,
                       std::function<void(const ObjectWriteResult&)> on_done) = 0;
-  /// The platform's list of machines, which lags.
+  /// The platform's list of machines, which may be outdated.
   virtual void list_machines(std::function<void(const MachineListResult&)> on_done) = 0;
 };
 
--- a/src/configuration/objects.h
+++ b/src/configuration/objects.h
@@ -1,7 +1,7 @@
 /// Typed forms of the objects that pumicemast keeps in the platform's object API.
 ///
 /// Each type has a kind, a name within the kind, and a JSON form. Unknown fields are
-/// ignored, so that a newer release may add some; a missing or ill-typed field fails.
+/// ignored, so that a newer release may add some; a missing field or a wrong type is an error.
 #pragma once
 
 #include <cstdint>
@@ -30,7 +30,7 @@
 enum class RolloutObjective { time, origin_bytes };
 const char* to_string(RolloutObjective objective);
 
-/// The newest change of a model's version; at most one a model.
+/// The newest change of a model's version; at most one per model.
 struct Rollout {
   static constexpr char kKind[] = "rollout";
   std::string model;
@@ -39,12 +39,12 @@
   std::string state = "RUNNING";  ///< A state of charts/rollout.ini.
   RolloutObjective objective = RolloutObjective::time;
   std::uint32_t max_unavailable = 1;
-  int priority = 0;  ///< Higher gets more of the links when several run.
+  int priority = 0;  ///< Higher gets a larger share of the links when several run.
   std::string created_by;
   std::string name() const { return model; }
 };
 
-/// How many replicas a model is to have.
+/// Wanted number of replicas of a model.
 struct ReplicaTarget {
   static constexpr char kKind[] = "replica_target";
   std::string model;
@@ -59,7 +59,7 @@
   std::string id;
   std::string path_prefix;  ///< For plain services; "" for a model alias.
   std::string service;
-  std::string alias;  ///< Model name as callers say it; "" for a path route.
+  std::string alias;  ///< Model name that callers use; "" for a path route.
   std::string model;
   std::string name() const { return id; }
 };
@@ -80,13 +80,13 @@
   static constexpr char kKind[] = "planned_stop";
   std::string machine;
   std::string state = "REQUESTED";  ///< A state of charts/drain.ini.
-  std::string note;                 ///< Why the stop waits.
+  std::string note;                 ///< Why the stop is delayed.
   bool force = false;               ///< Ignore replica floors.
   std::string created_by;
   std::string name() const { return machine; }
 };
 
-/// What one machine is to hold of a model.
+/// Versions of a model that one machine is assigned.
 struct MachinePlacement {
   std::string stage;  ///< Version to hold verified; "" for none.
   std::string serve;  ///< Version to serve; "" for none.
@@ -103,19 +103,19 @@
   std::string name() const { return model; }
 };
 
-/// A lease kept in the store. Expiry is judged by followers' own clocks from the time at
+/// A lease kept in the store. Followers determine expiry by their own clocks from the time at
 /// which they last saw the object's version change, never by comparing wall clocks.
 struct LeaseRecord {
   static constexpr char kKind[] = "lease";
   std::string id;
   std::string holder;
-  std::string attempt;  ///< Unique to one write, to recognise it after a lost answer.
+  std::string attempt;  ///< Unique to one write, to recognise it after a lost response.
   std::uint64_t term = 0;
   std::uint32_t ttl_ms = 0;
   std::string name() const { return id; }
 };
 
-/// Claims the one run of a non-repeatable request that carries an idempotency key.
+/// Claims the single execution of a non-repeatable request that carries an idempotency key.
 struct ExecutionClaim {
   static constexpr char kKind[] = "execution_claim";
   std::string id;  ///< Derived from tenant and key.
--- a/tests/configuration/configuration_store_test.cpp
+++ b/tests/configuration/configuration_store_test.cpp
@@ -20,24 +20,24 @@
 
 class ConfigurationStoreTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ConfigurationStoreTest);
-  CPPUNIT_TEST(never_goes_back);
-  CPPUNIT_TEST(a_listing_deletes_what_it_lacks);
+  CPPUNIT_TEST(never_applies_an_older_version);
+  CPPUNIT_TEST(a_listing_deletes_missing_objects);
   CPPUNIT_TEST(a_late_event_does_not_bring_a_deleted_object_back);
   CPPUNIT_TEST(an_older_listing_is_ignored);
   CPPUNIT_TEST(an_ill_formed_object_keeps_its_last_good_form);
   CPPUNIT_TEST(every_object_round_trips);
-  CPPUNIT_TEST(assignments_only_grow);
+  CPPUNIT_TEST(refuses_older_assignments);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void never_goes_back() {
+  void never_applies_an_older_version() {
     store_.apply_events(5, {target(5, 3)});
     const ConfigurationChange change = store_.apply_events(6, {target(4, 9)});
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{1}, change.outdated);
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{3}, replicas());
   }
 
-  void a_listing_deletes_what_it_lacks() {
+  void a_listing_deletes_missing_objects() {
     store_.apply_listing(5, {target(5, 3)});
     CPPUNIT_ASSERT(store_.listed());
     const ConfigurationChange change = store_.apply_listing(8, {});
@@ -86,7 +86,7 @@
     expect_round_trip(ExecutionClaim{"id", "e1", "e1#2", "FINISHED"});
   }
 
-  void assignments_only_grow() {
+  void refuses_older_assignments() {
     AssignmentGuard guard;
     CPPUNIT_ASSERT(guard.accept(5));
     CPPUNIT_ASSERT(guard.accept(5));
