--- a/src/standins/engine.cpp
+++ b/src/standins/engine.cpp
@@ -1,7 +1,7 @@
 /// Stand-in for a language-model engine: continuous batching, a bounded prefix cache,
-/// priorities, cancel, resume, lagging load reports, late and gappy cache events, and fenced
-/// orders. Its tokens name the weights that made them, so that a caller can see partial or
-/// mixed weights: `TAG:INDEX:PROMPT_HASH`.
+/// priorities, cancellation, resumption, delayed load reports, delayed cache events with gaps, and
+/// fenced orders. Its tokens identify the weights that generated them, so that a caller can detect
+/// partial or mixed weights: `TAG:INDEX:PROMPT_HASH`.
 #include <glib.h>
 
 #include <deque>
@@ -21,7 +21,7 @@
 constexpr std::size_t kPromptHashLength = 8;
 constexpr std::size_t kCacheEventLimit = 1000;
 
-/// One accepted completion request and how its answer is written.
+/// One accepted completion request; writes its response.
 class Completion : public std::enable_shared_from_this<Completion> {
  public:
   Completion(HttpExchangePointer exchange, const json& request, bool chat)
@@ -168,7 +168,7 @@
     return options;
   }
 
-  static void answer(const HttpExchangePointer& exchange, const ControlAnswer& result) {
+  static void answer(const HttpExchangePointer& exchange, const ControlResponse& result) {
     exchange->respond(result.status, "text/plain", result.reason);
   }
 
@@ -197,7 +197,7 @@
     exchange->respond(200, "application/octet-stream", *content);
   }
 
-  /// Late by the load lag and with gaps: a consumer sees from the numbers what it missed.
+  /// Events are delayed by the load lag and have gaps, which a consumer detects by their numbers.
   void cache_events(const HttpExchangePointer& exchange) {
     const std::int64_t after = query_integer(exchange, "after", 0);
     json events = json::array();
--- a/src/standins/engine_batcher.cpp
+++ b/src/standins/engine_batcher.cpp
@@ -22,13 +22,13 @@
   const std::uint32_t prefill = cached(job.prompt_hash) ? 0 : options_.prefill_steps;
   const int priority = job.priority;
   const std::uint32_t first = job.first_token;
-  waiting_.emplace(priority, Running{number, std::move(job), first, prefill});
+  waiting_.emplace(priority, ScheduledJob{number, std::move(job), first, prefill});
   if (!timer_.active()) timer_.start_repeating(options_.step, [this] { step(); });
   return number;
 }
 
 void EngineBatcher::cancel(std::uint64_t number) {
-  running_.remove_if([&](const Running& entry) { return entry.number == number; });
+  running_.remove_if([&](const ScheduledJob& entry) { return entry.number == number; });
   std::erase_if(waiting_, [&](const auto& entry) { return entry.second.number == number; });
 }
 
--- a/src/standins/engine_batcher.h
+++ b/src/standins/engine_batcher.h
@@ -1,5 +1,5 @@
 /// Continuous batching of the engine stand-in: each step gives every running request one
-/// token; waiting requests join by priority as soon as there is room.
+/// token; waiting requests join by priority as soon as the batch has a free slot.
 #pragma once
 
 #include <cstdint>
@@ -14,10 +14,10 @@
 namespace pumicemast::standins {
 
 struct GenerationJob {
-  std::string tag;  ///< Of the weights that answer; fixed when it is accepted.
+  std::string tag;  ///< Of the weights that serve the job; fixed when it is accepted.
   std::string prompt_hash;
   std::uint32_t tokens = 16;
-  std::uint32_t first_token = 0;  ///< Resumed after this many.
+  std::uint32_t first_token = 0;  ///< Number of tokens to skip when a request is resumed.
   int priority = 0;
   std::function<void(std::uint32_t index, const std::string& token)> on_token;
   std::function<void()> on_finished;
@@ -27,7 +27,7 @@
   Duration step = milliseconds(5);
   std::uint32_t batch_size = 16;
   std::uint32_t queue_limit = 64;
-  std::uint32_t prefill_steps = 4;  ///< Saved when the prompt's prefix is cached.
+  std::uint32_t prefill_steps = 4;  ///< Skipped when the prompt's prefix is cached.
   std::size_t prefix_cache_entries = 64;
 };
 
@@ -44,7 +44,7 @@
   std::uint64_t prefix_hits() const { return prefix_hits_; }
 
  private:
-  struct Running {
+  struct ScheduledJob {
     std::uint64_t number;
     GenerationJob job;
     std::uint32_t next_token;
@@ -55,9 +55,9 @@
   bool cached(const std::string& prompt_hash);
 
   BatcherOptions options_;
-  std::list<Running> running_;
-  std::multimap<int, Running, std::greater<>> waiting_;  ///< By priority, then order.
-  std::list<std::string> prefix_cache_;                  ///< Least recently used last.
+  std::list<ScheduledJob> running_;
+  std::multimap<int, ScheduledJob, std::greater<>> waiting_;  ///< By priority, then order.
+  std::list<std::string> prefix_cache_;                       ///< Least recently used last.
   std::uint64_t next_number_ = 1;
   std::uint64_t prefix_hits_ = 0;
   Timer timer_;
--- a/src/standins/engine_memory.cpp
+++ b/src/standins/engine_memory.cpp
@@ -15,36 +15,37 @@
   return false;
 }
 
-ControlAnswer EngineMemory::open_version(const std::string& digest,
-                                         const std::string& manifest_json) {
+ControlResponse EngineMemory::open_version(const std::string& digest,
+                                           const std::string& manifest_json) {
   return handle_error(
-      [&]() -> leaf::result<ControlAnswer> {
+      [&]() -> leaf::result<ControlResponse> {
         BOOST_LEAF_AUTO(manifest, Manifest::parse(manifest_json));
-        if (manifest.digest() != digest) return ControlAnswer{400, "another digest"};
-        if (versions_.contains(digest)) return ControlAnswer{};
+        if (manifest.digest() != digest)
+          return ControlResponse{400, "the manifest has another digest"};
+        if (versions_.contains(digest)) return ControlResponse{};
         if (used_bytes_ + manifest.total_bytes() > memory_bytes_) {
-          return ControlAnswer{507, "not enough memory"};
+          return ControlResponse{507, "not enough memory"};
         }
         used_bytes_ += manifest.total_bytes();
         const ChunkIndex count = manifest.chunk_count();
         versions_.emplace(
             digest, Version{std::move(manifest), ChunkSet(count), std::vector<std::string>(count),
                             std::vector<Sha256>(count)});
-        return ControlAnswer{};
+        return ControlResponse{};
       },
       [](const Error& error) {
-        return ControlAnswer{400, error.reason};
+        return ControlResponse{400, error.reason};
       });
 }
 
-ControlAnswer EngineMemory::write_chunk(const std::string& digest, ChunkIndex chunk,
-                                        std::string bytes) {
+ControlResponse EngineMemory::write_chunk(const std::string& digest, ChunkIndex chunk,
+                                          std::string bytes) {
   const auto found = versions_.find(digest);
   if (found == versions_.end()) return {404, "no such version"};
   Version& version = found->second;
   if (chunk >= version.held.size()) return {400, "no such chunk"};
   for (const auto& [model, serving] : serving_) {
-    if (serving.digest == digest) return {200, "serving already; left as it is"};
+    if (serving.digest == digest) return {200, "already serving; chunk not overwritten"};
   }
   version.hashes[chunk] = sha256(bytes);
   version.chunks[chunk] = std::move(bytes);
@@ -58,21 +59,21 @@
   return &found->second.chunks[chunk];
 }
 
-ControlAnswer EngineMemory::activate(const std::string& model, const std::string& version,
-                                     const std::string& digest, std::uint64_t fence) {
+ControlResponse EngineMemory::activate(const std::string& model, const std::string& version,
+                                       const std::string& digest, std::uint64_t fence) {
   if (fence_is_stale(fence)) return {409, "a newer fence was seen"};
   const auto found = versions_.find(digest);
   if (found == versions_.end()) return {404, "no such version"};
   const Version& staged = found->second;
-  const bool whole = staged.held.full() && staged.hashes == staged.manifest.chunk_hashes();
-  if (verifies_ && !whole) return {422, "not every byte is there"};
+  const bool complete = staged.held.full() && staged.hashes == staged.manifest.chunk_hashes();
+  if (verifies_ && !complete) return {422, "weights are incomplete or corrupt"};
   Sha256Stream stream;
   for (const Sha256& hash : staged.hashes) stream.update(to_hex(hash));
   serving_[model] = {version, digest, to_hex(stream.finish()).substr(0, 8)};
   return {};
 }
 
-ControlAnswer EngineMemory::drop(const std::string& digest, std::uint64_t fence) {
+ControlResponse EngineMemory::drop(const std::string& digest, std::uint64_t fence) {
   if (fence != 0 && fence_is_stale(fence)) return {409, "a newer fence was seen"};
   const auto found = versions_.find(digest);
   if (found == versions_.end()) return {};
--- a/src/standins/engine_memory.h
+++ b/src/standins/engine_memory.h
@@ -1,4 +1,4 @@
-/// Weights held by the engine stand-in: staged versions, the serving ones, the fence.
+/// Memory of the engine stand-in: staged and serving versions of weights, and the newest fence.
 #pragma once
 
 #include <cstdint>
@@ -13,8 +13,8 @@
 
 namespace pumicemast::standins {
 
-/// An answer of the control interface: HTTP status and reason.
-struct ControlAnswer {
+/// A response of the control interface: HTTP status and reason.
+struct ControlResponse {
   unsigned status = 200;
   std::string reason;
 };
@@ -22,21 +22,21 @@
 class EngineMemory {
  public:
   /// @param checks_fence  whether an order with an old fence is refused.
-  /// @param verifies      whether activation demands that every byte is there and right.
+  /// @param verifies      whether activation requires that all chunks are held and correct.
   EngineMemory(std::uint64_t memory_bytes, bool checks_fence, bool verifies)
       : memory_bytes_(memory_bytes), checks_fence_(checks_fence), verifies_(verifies) {}
 
-  ControlAnswer open_version(const std::string& digest, const std::string& manifest_json);
-  ControlAnswer write_chunk(const std::string& digest, ChunkIndex chunk, std::string bytes);
+  ControlResponse open_version(const std::string& digest, const std::string& manifest_json);
+  ControlResponse write_chunk(const std::string& digest, ChunkIndex chunk, std::string bytes);
   /// Null when the chunk is not held.
   const std::string* read_chunk(const std::string& digest, ChunkIndex chunk) const;
-  ControlAnswer activate(const std::string& model, const std::string& version,
-                         const std::string& digest, std::uint64_t fence);
-  ControlAnswer drop(const std::string& digest, std::uint64_t fence);
+  ControlResponse activate(const std::string& model, const std::string& version,
+                           const std::string& digest, std::uint64_t fence);
+  ControlResponse drop(const std::string& digest, std::uint64_t fence);
   /// A whole file of a held version, or nullopt.
   std::optional<std::string> read_file(const std::string& digest, const std::string& path) const;
 
-  /// Eight characters that depend on every byte of what serves `model`; "" when nothing does.
+  /// Eight characters that depend on every byte of the weights that serve `model`; "" for none.
   std::string content_tag(const std::string& model) const;
   nlohmann::json describe() const;
   std::uint64_t stale_orders() const { return stale_orders_; }
@@ -46,7 +46,7 @@
     Manifest manifest;
     ChunkSet held;
     std::vector<std::string> chunks;
-    std::vector<Sha256> hashes;  ///< Of what is really held, not of what should be.
+    std::vector<Sha256> hashes;  ///< Of the bytes held, which may differ from the manifest's.
   };
   struct Serving {
     std::string version;
--- a/src/standins/main.cpp
+++ b/src/standins/main.cpp
@@ -1,4 +1,4 @@
-/// pumicemast-standin: plays one outside system, chosen by `[standin] role`.
+/// pumicemast-standin: simulates one external system, chosen by `[standin] role`.
 #include <iostream>
 
 #include "common/command_line.h"
@@ -22,7 +22,7 @@
   Findings findings;
   const DaemonStart start =
       start_daemon(argc, argv,
-                   {"pumicemast-standin", "plays an outside system in tests and demos",
+                   {"pumicemast-standin", "simulates an external system in tests and demos",
                     "pumicemast-standin --settings engine.ini --set standin.listen=127.0.0.1:9000"},
                    findings);
   if (start.should_exit()) return start.exit_code;
--- a/src/standins/object_api.cpp
+++ b/src/standins/object_api.cpp
@@ -1,5 +1,5 @@
 /// Stand-in for the platform's object API: versions, conditional updates, watches, rate
-/// limits, outages, and writes that take effect though their answer is lost.
+/// limits, outages, and writes that take effect although their response is lost.
 #include <algorithm>
 #include <deque>
 #include <list>
@@ -14,7 +14,7 @@
 
 using nlohmann::json;
 
-/// Events kept for watches that are behind; older ones answer 410.
+/// Number of events kept for watches that lag behind; watches from before them get status 410.
 constexpr std::size_t kHistoryLimit = 20000;
 constexpr std::size_t kMaximumValueBytes = 1U << 20U;
 
@@ -173,11 +173,11 @@
     }
     WaitingWatch waiting{exchange, exchange->query("kinds"), after,
                          loop_now() + milliseconds(wait_ms)};
-    if (!answer_watch(waiting, wait_ms == 0)) watches_.push_back(waiting);
+    if (!respond_to_watch(waiting, wait_ms == 0)) watches_.push_back(waiting);
   }
 
-  /// Answers when there are events, or in any case when `now_or_never`.
-  bool answer_watch(const WaitingWatch& waiting, bool now_or_never) {
+  /// Responds when there are events, or in any case when `respond_if_empty`.
+  bool respond_to_watch(const WaitingWatch& waiting, bool respond_if_empty) {
     json events = json::array();
     const auto first = std::upper_bound(
         history_.begin(), history_.end(), waiting.after,
@@ -185,14 +185,14 @@
     for (auto event = first; event != history_.end(); ++event) {
       if (kinds_contain(waiting.kinds, event->kind)) events.push_back(event->document);
     }
-    if (events.empty() && !now_or_never) return false;
+    if (events.empty() && !respond_if_empty) return false;
     respond_json(waiting.exchange, 200, {{"revision", revision_}, {"events", events}});
     return true;
   }
 
   void notify_watches() {
     watches_.remove_if(
-        [this](const WaitingWatch& waiting) { return answer_watch(waiting, false); });
+        [this](const WaitingWatch& waiting) { return respond_to_watch(waiting, false); });
   }
 
   void expire_watches() {
@@ -204,7 +204,7 @@
         waiting.exchange->abort();
         return true;
       }
-      return now >= waiting.deadline && answer_watch(waiting, true);
+      return now >= waiting.deadline && respond_to_watch(waiting, true);
     });
   }
 
@@ -212,7 +212,7 @@
     const TimePoint now = loop_now();
     json machines = json::array();
     for (const auto& [name, change] : machine_changes_) {
-      // A change shows only after the list's lag.
+      // A change becomes visible only after the list's lag.
       if (now < change.at + machine_list_lag_) continue;
       machines.push_back({{"name", name}, {"state", change.state}});
     }
--- a/src/standins/origin.cpp
+++ b/src/standins/origin.cpp
@@ -1,5 +1,5 @@
-/// Stand-in for the origin of weights: a store whose link has a limited rate. Answers are
-/// delayed so that all of them together never exceed it, first come first served.
+/// Stand-in for the origin of weights: a store whose link has a limited rate. Responses
+/// are delayed, in order of arrival, so that all of them together never exceed it.
 #include <algorithm>
 
 #include "common/event_loop.h"
@@ -70,7 +70,7 @@
         pending);
   }
 
-  /// POST /control?outage_ms=N&bytes_per_second=N&corrupt_hash=H
+  /// POST /control?outage_ms=N&bytes_per_second=N
   void control(const HttpExchangePointer& exchange) {
     const std::int64_t outage_ms = query_integer(exchange, "outage_ms", -1);
     if (outage_ms >= 0) outage_until_ = loop_now() + milliseconds(outage_ms);
@@ -82,7 +82,7 @@
   struct Pending {
     Origin* origin;
     HttpExchangePointer exchange;
-    const std::string* bytes;  ///< Map nodes stay where they are.
+    const std::string* bytes;  ///< Stays valid: map nodes do not move.
   };
 
   double bytes_per_second_;
--- a/src/standins/plain_service.cpp
+++ b/src/standins/plain_service.cpp
@@ -1,5 +1,5 @@
-/// Stand-in for a plain service beside the engines, some of whose calls may not be
-/// repeated. It keeps a journal of every execution, so that a test can count them.
+/// Stand-in for a plain service next to the engines, some of whose calls must not be
+/// repeated. It records every execution, so that a test can count them.
 #include "common/event_loop.h"
 #include "standins/standin.h"
 
@@ -19,7 +19,7 @@
       return respond_json(exchange, 200, {{"executions", executions_}});
     }
     if (exchange->path() == "/control") {
-      // POST /control?drop_answers=N: the next N calls run, but their connections are cut.
+      // POST /control?drop_answers=N: the next N calls run, but their connections are aborted.
       drop_answers_ = query_integer(exchange, "drop_answers", 0);
       return respond_json(exchange, 200, json::object());
     }
--- a/src/standins/standin.h
+++ b/src/standins/standin.h
@@ -1,5 +1,5 @@
-/// What the stand-ins share. A stand-in plays an outside system in tests and demos through
-/// that system's published protocol; none of its code runs in the product.
+/// Common parts of the stand-ins. A stand-in simulates an external system in tests and demos
+/// through that system's published protocol; none of its code runs in production.
 #pragma once
 
 #include <functional>
@@ -26,7 +26,7 @@
 std::int64_t query_integer(const HttpExchangePointer& exchange, const std::string& name,
                            std::int64_t fallback);
 
-/// Each makes one stand-in from the INI section of its name.
+/// Each creates one stand-in from its section of the settings.
 std::unique_ptr<StandIn> make_object_api(Settings& settings);
 std::unique_ptr<StandIn> make_origin(Settings& settings);
 std::unique_ptr<StandIn> make_engine(Settings& settings);
