--- a/src/experiment/burst_experiment.cpp
+++ b/src/experiment/burst_experiment.cpp
@@ -12,24 +12,23 @@
 using simulation::BurstSettings;
 using simulation::Strategy;
 
-/// Seconds until the share of the survivors was live, counted from the last order; -1 when
-/// it never was.
-double time_to_share(const BurstResult& result, double share) {
+/// Seconds from the last order until `fraction` of the survivors was live; -1 when it never was.
+double time_to_fraction(const BurstResult& result, double fraction) {
   if (result.survivors == 0) return -1;
-  const auto wanted = static_cast<std::size_t>(share * result.survivors + 0.999999);
-  const std::size_t index = std::max<std::size_t>(1, wanted) - 1;
+  const auto required = static_cast<std::size_t>(fraction * result.survivors + 0.999999);
+  const std::size_t index = std::max<std::size_t>(1, required) - 1;
   if (index >= result.live_times_s.size()) return -1;
   return result.live_times_s[index] - result.last_order_s;
 }
 
-/// The settings under which the simulator plays a baseline.
+/// The settings with which the simulator runs a baseline.
 BurstSettings baseline_settings(BurstSettings settings, Strategy strategy) {
   settings.strategy = strategy;
   if (strategy == Strategy::origin_only) {
     settings.swarm.origin_for_all = true;
     settings.swarm.use_peers = false;
-    settings.swarm.announce_interval = seconds(5);  // Nobody listens.
-    // Queues at the origin are as long as the fleet is large.
+    settings.swarm.announce_interval = seconds(5);  // No peer uses announcements.
+    // Time limits are long, since queues at the origin grow with the size of the fleet.
     settings.swarm.origin_timeout = std::chrono::hours(24);
     settings.swarm.subscription_timeout = std::chrono::hours(24);
     settings.swarm.takeover_interval = std::chrono::hours(24);
@@ -60,19 +59,19 @@
   figures.add("survivors", result.survivors, "machines");
   figures.add("never_live", result.never_live, "machines");
   figures.add("bound", bound_s, "s");
-  figures.add("time_to_first_live", time_to_share(result, 0), "s");
-  figures.add("time_to_half_live", time_to_share(result, 0.5), "s");
-  figures.add("time_to_90_percent_live", time_to_share(result, 0.9), "s");
-  figures.add("time_to_99_percent_live", time_to_share(result, 0.99), "s");
-  figures.add("time_to_all_live", time_to_share(result, 1), "s");
-  figures.add("time_to_half_live_ratio", time_to_share(result, 0.5) / bound_s, "x");
-  figures.add("time_to_all_live_ratio", time_to_share(result, 1) / bound_s, "x");
+  figures.add("time_to_first_live", time_to_fraction(result, 0), "s");
+  figures.add("time_to_half_live", time_to_fraction(result, 0.5), "s");
+  figures.add("time_to_90_percent_live", time_to_fraction(result, 0.9), "s");
+  figures.add("time_to_99_percent_live", time_to_fraction(result, 0.99), "s");
+  figures.add("time_to_all_live", time_to_fraction(result, 1), "s");
+  figures.add("time_to_half_live_ratio", time_to_fraction(result, 0.5) / bound_s, "x");
+  figures.add("time_to_all_live_ratio", time_to_fraction(result, 1) / bound_s, "x");
   const auto faults = simulation::FaultSchedule::draw(settings);
   const double blocked_s = faults.blocked_bound_s(settings, result.survived);
   figures.add("blocked_bound", blocked_s, "s");
-  figures.add("time_to_all_live_over_blocked_bound", time_to_share(result, 1) / blocked_s, "x");
+  figures.add("time_to_all_live_over_blocked_bound", time_to_fraction(result, 1) / blocked_s, "x");
   figures.add("planned_time_to_all_live", plan.time_to_all_live_s, "s");
-  figures.add("measured_over_planned", time_to_share(result, 1) / plan.time_to_all_live_s, "x");
+  figures.add("measured_over_planned", time_to_fraction(result, 1) / plan.time_to_all_live_s, "x");
   figures.add("origin_copies", static_cast<double>(result.origin_bytes) / bytes, "copies");
   figures.add("inter_region_copies", static_cast<double>(result.inter_region_bytes) / bytes,
               "copies");
@@ -90,7 +89,7 @@
   figures.add("peak_agent_memory", static_cast<double>(result.peak_agent_memory), "bytes");
   figures.add("messages_per_agent_second",
               static_cast<double>(result.messages) / settings.machines /
-                  std::max(1.0, time_to_share(result, 1) + result.last_order_s),
+                  std::max(1.0, time_to_fraction(result, 1) + result.last_order_s),
               "messages/s");
   figures.add("partial_or_mixed_served", result.partial_or_mixed_served, "activations");
   return figures;
@@ -98,14 +97,14 @@
 
 void add_baseline_figures(const BurstSettings& settings, const BurstResult& result,
                           const StateChart& replica_chart, Figures& figures) {
-  const double own_s = time_to_share(result, 1);
+  const double own_s = time_to_fraction(result, 1);
   for (const Strategy strategy :
        {Strategy::origin_only, Strategy::tree, Strategy::pipeline, Strategy::random}) {
     BurstSettings baseline = settings;
     baseline.strategy = strategy;
     const BurstResult other = run_burst(baseline, replica_chart);
     const std::string name = std::string("baseline_") + to_string(strategy);
-    const double other_s = time_to_share(other, 1);
+    const double other_s = time_to_fraction(other, 1);
     figures.add(name + "_time_to_all_live", other_s, "s");
     figures.add(name + "_never_live", other.never_live, "machines");
     figures.add(name + "_origin_copies",
--- a/src/experiment/burst_experiment.h
+++ b/src/experiment/burst_experiment.h
@@ -1,4 +1,4 @@
-/// Runs a burst experiment, judges it against the bound, the plan and the baselines.
+/// Runs a burst experiment and compares it with the bound, the plan and the baselines.
 #pragma once
 
 #include "common/state_chart.h"
@@ -11,7 +11,7 @@
 Figures burst_figures(const simulation::BurstSettings& settings,
                       const simulation::BurstResult& result);
 
-/// Runs each baseline and adds its time, bytes and the ratio to it.
+/// Runs each baseline and adds its time, origin copies and ratio to the run's time.
 void add_baseline_figures(const simulation::BurstSettings& settings,
                           const simulation::BurstResult& result, const StateChart& replica_chart,
                           Figures& figures);
--- a/src/experiment/experiment_options.h
+++ b/src/experiment/experiment_options.h
@@ -18,7 +18,7 @@
 struct ExperimentOptions {
   std::unique_ptr<Settings> settings;  ///< Null when the program should exit.
   int exit_code = kExitOk;
-  std::string out;  ///< Folder for the report, "" for none.
+  std::string out;  ///< Directory for the report, "" for none.
   std::string charts = "charts";
   bool baselines = false;
   bool json = false;
--- a/src/experiment/figures.h
+++ b/src/experiment/figures.h
@@ -1,4 +1,4 @@
-/// Lines `figure NAME VALUE UNIT`, for people and programs alike.
+/// Results of a run, printed as lines `figure NAME VALUE UNIT`.
 #pragma once
 
 #include <string>
@@ -18,7 +18,7 @@
     figures_.push_back({name, value, unit});
   }
   const std::vector<Figure>& all() const { return figures_; }
-  /// One line a figure; six significant digits.
+  /// One line per figure; six significant digits.
   std::string format() const;
 
  private:
--- a/src/experiment/main.cpp
+++ b/src/experiment/main.cpp
@@ -15,13 +15,13 @@
 
 usage: pumicemast-experiment run FILE.ini [OPTIONS]
 
-      --seed N             seed of everything random (default: [run] seed, or 1)
+      --seed N             seed of all random numbers (default: [run] seed, or 1)
       --set SECTION.KEY=V  replaces one setting; may be repeated
       --out DIR            writes figures, history, CSV and SVG plots into DIR
       --baselines          also runs the baselines and prints the ratio to each
       --charts DIR         state charts (default: charts)
 
-Prints lines `figure NAME VALUE UNIT`. The same seed prints the same lines, but for
+Prints lines `figure NAME VALUE UNIT`. The same seed prints the same lines, except
 wall_seconds, and writes the same files.
 
 example
--- a/src/experiment/report.cpp
+++ b/src/experiment/report.cpp
@@ -76,7 +76,7 @@
   return {};
 }
 
-/// Runs gnuplot in `directory`. @return whether it made the plots.
+/// Runs gnuplot in `directory`. @return whether it succeeded.
 bool run_gnuplot(const std::string& directory) {
   gchar* program = g_find_program_in_path("gnuplot");
   if (program == nullptr) return false;
@@ -107,7 +107,7 @@
   std::replace(steps.begin(), steps.end(), ' ', ',');
   BOOST_LEAF_CHECK(write_file(directory + "/live.dat", steps));
   BOOST_LEAF_CHECK(write_file(directory + "/plots.gnuplot", gnuplot_script(settings, result)));
-  return run_gnuplot(directory) ? "" : "no plots were made: gnuplot is missing or failed";
+  return run_gnuplot(directory) ? "" : "no plots were written: gnuplot is missing or failed";
 }
 
 }  // namespace pumicemast
--- a/src/experiment/report.h
+++ b/src/experiment/report.h
@@ -1,4 +1,4 @@
-/// Writes what a run leaves behind: figures, history, a CSV over time and SVG plots.
+/// Writes the report of a run: figures, history, a CSV over time and SVG plots.
 #pragma once
 
 #include <string>
@@ -10,8 +10,8 @@
 namespace pumicemast {
 
 /// Writes figures.txt, history.jsonl, samples.csv, live.svg and bytes.svg into `directory`,
-/// which is made if it is missing. The plots need gnuplot; without it they are left out and
-/// the returned text says so. Same run, same bytes.
+/// which is created if it is missing. The plots need gnuplot; without it they are left out and
+/// the returned text says so. Equal runs write identical files.
 leaf::result<std::string> write_report(const std::string& directory,
                                        const simulation::BurstSettings& settings,
                                        const simulation::BurstResult& result,
