--- a/tests/common/event_loop_test.cpp
+++ b/tests/common/event_loop_test.cpp
@@ -14,10 +14,10 @@
 class EventLoopTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EventLoopTest);
   CPPUNIT_TEST(time_runs_on_while_the_machine_is_suspended);
-  CPPUNIT_TEST(what_fell_due_during_a_suspension_fires_soon_after);
-  CPPUNIT_TEST(what_is_due_later_keeps_its_moment);
+  CPPUNIT_TEST(timers_due_during_a_suspension_fire_soon_after);
+  CPPUNIT_TEST(timers_due_later_fire_on_time);
   CPPUNIT_TEST(a_repeating_timer_fires_once_for_a_suspension);
-  CPPUNIT_TEST(clocks_that_drift_by_a_reading_are_no_suspension);
+  CPPUNIT_TEST(small_clock_differences_are_no_suspension);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -29,7 +29,7 @@
   }
 
   // On CLOCK_MONOTONIC alone the timer would fire 60 s later.
-  void what_fell_due_during_a_suspension_fires_soon_after() {
+  void timers_due_during_a_suspension_fire_soon_after() {
     Timer tick;
     Timer timeout;
     bool fired = false;
@@ -42,7 +42,7 @@
     CPPUNIT_ASSERT(fired);
   }
 
-  void what_is_due_later_keeps_its_moment() {
+  void timers_due_later_fire_on_time() {
     Timer tick;
     Timer timeout;
     bool fired = false;
@@ -69,7 +69,7 @@
     CPPUNIT_ASSERT_EQUAL(1, fired);
   }
 
-  void clocks_that_drift_by_a_reading_are_no_suspension() {
+  void small_clock_differences_are_no_suspension() {
     TimePoint now{seconds(100)};
     SuspensionDetector detector({now, now});
     CPPUNIT_ASSERT(detector.on_reading({now + milliseconds(5), now}) == Duration::zero());
--- a/tests/common/recent_maximum_test.cpp
+++ b/tests/common/recent_maximum_test.cpp
@@ -7,7 +7,7 @@
 class RecentMaximumTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RecentMaximumTest);
   CPPUNIT_TEST(the_largest_value_holds_for_the_window);
-  CPPUNIT_TEST(what_is_long_ago_is_forgotten);
+  CPPUNIT_TEST(old_values_are_forgotten);
   CPPUNIT_TEST(nothing_noted_is_zero);
   CPPUNIT_TEST_SUITE_END();
 
@@ -24,7 +24,7 @@
     }
   }
 
-  void what_is_long_ago_is_forgotten() {
+  void old_values_are_forgotten() {
     maximum.note(40, now);
     for (int second = 0; second < 21; ++second) {
       now += seconds(1);
--- a/tests/common/recent_set_test.cpp
+++ b/tests/common/recent_set_test.cpp
@@ -6,13 +6,13 @@
 
 class RecentSetTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RecentSetTest);
-  CPPUNIT_TEST(keeps_for_a_span_to_two);
-  CPPUNIT_TEST(is_kept_on_while_it_comes_again);
-  CPPUNIT_TEST(holds_no_more_than_it_may);
+  CPPUNIT_TEST(keeps_keys_for_one_to_two_spans);
+  CPPUNIT_TEST(keeps_keys_that_are_added_again);
+  CPPUNIT_TEST(keeps_no_more_keys_than_its_capacity);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void keeps_for_a_span_to_two() {
+  void keeps_keys_for_one_to_two_spans() {
     RecentSet<int> set(seconds(10), 100);
     set.add(1, now_);
     CPPUNIT_ASSERT(set.contains(1, now_ + seconds(10)));
@@ -22,7 +22,7 @@
     CPPUNIT_ASSERT(!set.contains(3, now_ + seconds(100)));
   }
 
-  void is_kept_on_while_it_comes_again() {
+  void keeps_keys_that_are_added_again() {
     RecentSet<int> set(seconds(10), 100);
     for (int second = 0; second < 100; ++second) {
       set.add(1, now_ + seconds(second));
@@ -30,7 +30,7 @@
     }
   }
 
-  void holds_no_more_than_it_may() {
+  void keeps_no_more_keys_than_its_capacity() {
     RecentSet<int> set(seconds(10), 5);
     for (int key = 0; key < 100; ++key) set.add(key, now_);
     CPPUNIT_ASSERT(set.contains(4, now_));
