--- a/src/common/event_loop.cpp
+++ b/src/common/event_loop.cpp
@@ -22,11 +22,11 @@
 
 TimePoint loop_now() { return read_elapsed(); }
 
-void make_up_for_suspension() {
-  static SuspensionWatch watch(read_clocks());
-  const Duration slept = watch.on_reading(read_clocks());
-  if (slept == Duration::zero()) return;
-  for (Timer* timer : active_timers()) timer->bring_forward(slept);
+void compensate_for_suspension() {
+  static SuspensionDetector detector(read_clocks());
+  const Duration suspended = detector.on_reading(read_clocks());
+  if (suspended == Duration::zero()) return;
+  for (Timer* timer : active_timers()) timer->bring_forward(suspended);
 }
 
 EventLoop::EventLoop() : loop_(g_main_loop_new(nullptr, FALSE)) {}
@@ -91,13 +91,13 @@
 void Timer::bring_forward(Duration by) {
   GSource* source = g_main_context_find_source_by_id(nullptr, source_);
   if (source == nullptr) return;
-  // A negative time would mean never.
+  // A negative ready time would disable the source.
   const gint64 due = g_source_get_ready_time(source) - by.count();
   g_source_set_ready_time(source, std::max<gint64>(0, due));
 }
 
 gboolean Timer::fire(gpointer self) {
-  make_up_for_suspension();
+  compensate_for_suspension();
   auto* timer = static_cast<Timer*>(self);
   if (timer->repeating_) {
     timer->callback_();
--- a/tests/common/event_loop_test.cpp
+++ b/tests/common/event_loop_test.cpp
@@ -14,10 +14,10 @@
 class EventLoopTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EventLoopTest);
   CPPUNIT_TEST(time_runs_on_while_the_machine_is_suspended);
-  CPPUNIT_TEST(what_fell_due_during_a_suspension_fires_soon_after);
-  CPPUNIT_TEST(what_is_due_later_keeps_its_moment);
+  CPPUNIT_TEST(timers_due_during_a_suspension_fire_soon_after);
+  CPPUNIT_TEST(timers_due_later_fire_on_time);
   CPPUNIT_TEST(a_repeating_timer_fires_once_for_a_suspension);
-  CPPUNIT_TEST(clocks_that_drift_by_a_reading_are_no_suspension);
+  CPPUNIT_TEST(small_clock_differences_are_no_suspension);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -28,8 +28,8 @@
     CPPUNIT_ASSERT(loop_now() - before < seconds(8));
   }
 
-  // With a steady clock alone it would fire 60 s later.
-  void what_fell_due_during_a_suspension_fires_soon_after() {
+  // On CLOCK_MONOTONIC alone the timer would fire 60 s later.
+  void timers_due_during_a_suspension_fire_soon_after() {
     Timer tick;
     Timer timeout;
     bool fired = false;
@@ -42,7 +42,7 @@
     CPPUNIT_ASSERT(fired);
   }
 
-  void what_is_due_later_keeps_its_moment() {
+  void timers_due_later_fire_on_time() {
     Timer tick;
     Timer timeout;
     bool fired = false;
@@ -69,23 +69,23 @@
     CPPUNIT_ASSERT_EQUAL(1, fired);
   }
 
-  void clocks_that_drift_by_a_reading_are_no_suspension() {
+  void small_clock_differences_are_no_suspension() {
     TimePoint now{seconds(100)};
-    SuspensionWatch watch({now, now});
-    CPPUNIT_ASSERT(watch.on_reading({now + milliseconds(5), now}) == Duration::zero());
-    CPPUNIT_ASSERT(watch.on_reading({now + seconds(3), now}) == seconds(3));
-    CPPUNIT_ASSERT(watch.on_reading({now + seconds(5), now + seconds(2)}) == Duration::zero());
-    // Small ones add up.
-    CPPUNIT_ASSERT(watch.on_reading({now + milliseconds(5015), now + seconds(2)}) ==
+    SuspensionDetector detector({now, now});
+    CPPUNIT_ASSERT(detector.on_reading({now + milliseconds(5), now}) == Duration::zero());
+    CPPUNIT_ASSERT(detector.on_reading({now + seconds(3), now}) == seconds(3));
+    CPPUNIT_ASSERT(detector.on_reading({now + seconds(5), now + seconds(2)}) == Duration::zero());
+    // Differences below the minimum add up until they exceed it.
+    CPPUNIT_ASSERT(detector.on_reading({now + milliseconds(5015), now + seconds(2)}) ==
                    Duration::zero());
-    CPPUNIT_ASSERT(watch.on_reading({now + milliseconds(5030), now + seconds(2)}) ==
+    CPPUNIT_ASSERT(detector.on_reading({now + milliseconds(5030), now + seconds(2)}) ==
                    milliseconds(30));
   }
 
  private:
   static constexpr Duration kTick = milliseconds(20);
 
-  /// On the loop, awake.
+  /// Runs the loop for `length`, without a suspension.
   static void run_for(Duration length) {
     const TimePoint end = loop_now() + length;
     while (loop_now() < end) g_main_context_iteration(nullptr, FALSE);
