--- a/src/entry/agent_hub.cpp
+++ b/src/entry/agent_hub.cpp
@@ -80,7 +80,7 @@
     case wire::Body::AnswerHead:
     case wire::Body::AnswerData:
     case wire::Body::AnswerEnd:
-      callbacks_.on_answer(session.machine, frame);
+      callbacks_.on_response(session.machine, frame);
       return;
     default:
       metrics_.count("pumicemast_entry_unexpected_frames_total");
--- a/src/entry/agent_hub.h
+++ b/src/entry/agent_hub.h
@@ -18,7 +18,7 @@
     std::function<void(const BackendHello&)> on_hello;
     std::function<void(const std::string& machine, const BackendStatus&)> on_status;
     /// RequestRefused, AnswerHead, AnswerData or AnswerEnd.
-    std::function<void(const std::string& machine, const wire::Frame&)> on_answer;
+    std::function<void(const std::string& machine, const wire::Frame&)> on_response;
     std::function<void(const std::string& machine)> on_lost;
   };
 
--- a/src/entry/control_loop.cpp
+++ b/src/entry/control_loop.cpp
@@ -9,8 +9,8 @@
 
 constexpr char kControllerLease[] = "controller";
 /// A write that the watch has not shown by then is judged again from what is in force.
-constexpr Duration kPendingLimit = seconds(2);
-constexpr std::uint64_t kTakeoverSpreadMs = 1000;
+constexpr Duration kPendingWriteTimeout = seconds(2);
+constexpr std::uint64_t kTakeoverJitterRangeMs = 1000;
 
 LeaseOptions lease_options(const EntrySettings& settings, std::uint64_t incarnation) {
   LeaseOptions options;
@@ -19,7 +19,8 @@
   options.ttl = settings.lease_ttl;
   options.renew_interval = settings.lease_renew;
   options.safety_margin = settings.lease_margin;
-  options.takeover_delay = milliseconds(static_cast<std::int64_t>(incarnation % kTakeoverSpreadMs));
+  options.takeover_delay =
+      milliseconds(static_cast<std::int64_t>(incarnation % kTakeoverJitterRangeMs));
   return options;
 }
 
@@ -47,7 +48,7 @@
   const TimePoint now = loop_now();
   if (const auto lease_write = lease_.on_tick(now)) write_lease(*lease_write);
   const bool holds = lease_.holds(now);
-  note_role(holds);
+  update_role(holds);
   if (holds) {
     decide(now);
   } else if (now >= next_lease_read_ && !reading_lease_) {
@@ -55,7 +56,7 @@
   }
 }
 
-void ControlLoop::note_role(bool holds) {
+void ControlLoop::update_role(bool holds) {
   if (holds == was_holder_) return;
   was_holder_ = holds;
   if (holds) controller_.on_lease_acquired(loop_now());
@@ -98,10 +99,10 @@
   std::erase_if(pending_, [&](const auto& entry) { return now >= entry.second; });
   const ControllerActions actions =
       controller_.decide(configuration_, directory_, lease_.term(), now);
-  for (const ControllerAction& action : actions) carry_out(action, now);
+  for (const ControllerAction& action : actions) execute(action, now);
 }
 
-void ControlLoop::carry_out(const ControllerAction& action, TimePoint now) {
+void ControlLoop::execute(const ControllerAction& action, TimePoint now) {
   if (const auto* placement = std::get_if<WritePlacement>(&action)) {
     write(Placement::kKind, placement->placement.name(), to_json(placement->placement),
           placement->expected, now);
@@ -120,7 +121,7 @@
   const std::string key = kind + "/" + name + "@" + std::to_string(expected);
   // The same version is not written twice: the first write may still be on its way.
   if (pending_.contains(key)) return;
-  pending_[key] = now + kPendingLimit;
+  pending_[key] = now + kPendingWriteTimeout;
   store_.write(kind, name, value, expected, [this, key, kind](const ObjectWriteResult& result) {
     const char* outcome = result.outcome == WriteOutcome::applied    ? "applied"
                           : result.outcome == WriteOutcome::conflict ? "conflict"
--- a/src/entry/control_loop.h
+++ b/src/entry/control_loop.h
@@ -29,9 +29,9 @@
   void tick();
   void read_lease();
   void write_lease(const WriteLease& write);
-  void note_role(bool holds);
+  void update_role(bool holds);
   void decide(TimePoint now);
-  void carry_out(const ControllerAction& action, TimePoint now);
+  void execute(const ControllerAction& action, TimePoint now);
   void write(const std::string& kind, const std::string& name, const nlohmann::json& value,
              ObjectVersion expected, TimePoint now);
 
--- a/src/entry/entry_daemon.cpp
+++ b/src/entry/entry_daemon.cpp
@@ -14,7 +14,7 @@
 constexpr Duration kPushDelay = milliseconds(20);
 constexpr Duration kTickInterval = milliseconds(100);
 /// Longest wait for an accepted change to be in force at this entry before it is answered.
-constexpr Duration kInForceLimit = seconds(2);
+constexpr Duration kInForceTimeout = seconds(2);
 constexpr Duration kForgetLostAfter = seconds(600);
 /// A silent agent's connection is broken after this many silence limits.
 constexpr int kSilenceLimitsBeforeDrop = 4;
@@ -92,7 +92,7 @@
                             front_end_->on_capacity();
                           },
                           [this](const std::string& machine, const wire::Frame& frame) {
-                            front_end_->on_answer(machine, frame);
+                            front_end_->on_response(machine, frame);
                           },
                           [this](const std::string& machine) {
                             directory_.on_disconnected(machine, loop_now());
@@ -143,7 +143,7 @@
   front_end_->on_configuration();
   push_assignments();
   front_end_->on_capacity();
-  answer_commands();
+  respond_to_commands();
 }
 
 void EntryDaemon::push_assignments_soon() {
@@ -168,7 +168,7 @@
 
 void EntryDaemon::tick() {
   front_end_->on_tick();
-  answer_commands();
+  respond_to_commands();
   const TimePoint now = loop_now();
   directory_.forget_lost(kForgetLostAfter, now);
   std::vector<std::string> silent;
@@ -252,17 +252,17 @@
   }
   metrics_.count("pumicemast_entry_commands_total");
   commands_->run(words, user, [this, exchange](const CommandResult& result) {
-    pending_commands_.push_back({exchange, result, loop_now() + kInForceLimit});
-    answer_commands();
+    pending_commands_.push_back({exchange, result, loop_now() + kInForceTimeout});
+    respond_to_commands();
   });
 }
 
-void EntryDaemon::answer_commands() {
+void EntryDaemon::respond_to_commands() {
   const TimePoint now = loop_now();
   std::erase_if(pending_commands_, [&](const PendingCommand& pending) {
     const CommandResult& result = pending.result;
     const bool in_force = !result.ok || result.version <= configuration_.revision();
-    if (!in_force && now < pending.give_up) return false;
+    if (!in_force && now < pending.respond_by) return false;
     pending.exchange->respond(status_of(result), "application/json",
                               result_document(result).dump());
     return true;
--- a/src/entry/entry_daemon.h
+++ b/src/entry/entry_daemon.h
@@ -39,7 +39,7 @@
   void drain_servers();
   void handle_operator(const HttpExchangePointer& exchange);
   void handle_command(const HttpExchangePointer& exchange);
-  void answer_commands();
+  void respond_to_commands();
   void update_gauges();
   QueryView query_view() const;
 
@@ -64,7 +64,7 @@
   struct PendingCommand {
     HttpExchangePointer exchange;
     CommandResult result;
-    TimePoint give_up{};
+    TimePoint respond_by{};
   };
   std::vector<PendingCommand> pending_commands_;
   AssignmentBuilder assignments_;
--- a/src/entry/execution_claims.cpp
+++ b/src/entry/execution_claims.cpp
@@ -39,14 +39,14 @@
         return;
       case WriteOutcome::conflict:
       case WriteOutcome::unknown:
-        judge_existing(name, claim.attempt, on_done);
+        check_existing(name, claim.attempt, on_done);
         return;
     }
   };
   store_.write(ExecutionClaim::kKind, name, to_json(claim), expected, on_written);
 }
 
-void ExecutionClaims::judge_existing(const std::string& name, const std::string& attempt,
+void ExecutionClaims::check_existing(const std::string& name, const std::string& attempt,
                                      std::function<void(ClaimResult)> on_done) {
   store_.read(
       ExecutionClaim::kKind, name, [this, name, attempt, on_done](const ObjectReadResult& read) {
--- a/src/entry/execution_claims.h
+++ b/src/entry/execution_claims.h
@@ -36,17 +36,17 @@
  private:
   void create(const std::string& name, ObjectVersion expected,
               std::function<void(ClaimResult)> on_done);
-  void judge_existing(const std::string& name, const std::string& attempt,
+  void check_existing(const std::string& name, const std::string& attempt,
                       std::function<void(ClaimResult)> on_done);
 
   ObjectStore& store_;
   std::string holder_;
   std::uint64_t attempts_ = 0;
-  struct Held {
+  struct HeldClaim {
     ExecutionClaim claim;
     ObjectVersion version = 0;
   };
-  std::map<std::string, Held> held_;
+  std::map<std::string, HeldClaim> held_;
 };
 
 }  // namespace pumicemast
--- a/src/entry/front_end.cpp
+++ b/src/entry/front_end.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Duration kClaimRetryAfter = seconds(2);
-constexpr char kOtherTenants[] = "other";
+constexpr char kOtherTenantsLabel[] = "other";
 
 CallerError error_for(RefusalCode code, Outcome outcome, Duration retry_after) {
   CallerError error;
@@ -100,7 +100,7 @@
 
 std::string FrontEnd::tenant_label(const std::string& tenant) const {
   // Names come from callers: only configured ones may become label values.
-  return configuration_.find<Tenant>(tenant) != nullptr ? tenant : kOtherTenants;
+  return configuration_.find<Tenant>(tenant) != nullptr ? tenant : kOtherTenantsLabel;
 }
 
 void FrontEnd::on_exchange(const HttpExchangePointer& exchange) {
@@ -206,7 +206,7 @@
   caller.priority = limit.priority;
   exchange->on_disconnect([this, number] {
     if (!callers_.contains(number)) return;
-    carry_out(scheduler_.on_caller_gone(number, loop_now()));
+    execute_actions(scheduler_.on_caller_gone(number, loop_now()));
     finish(number, "caller_gone");
   });
   const bool needs_claim = caller.request.non_repeatable && !caller.request.idempotency_key.empty();
@@ -249,24 +249,24 @@
   if (caller.request.deadline > Duration::zero()) {
     profile.deadline = caller.started + caller.request.deadline;
   }
-  carry_out(scheduler_.on_request(number, std::move(profile), loop_now()));
+  execute_actions(scheduler_.on_request(number, std::move(profile), loop_now()));
 }
 
-void FrontEnd::on_answer(const std::string& machine, const wire::Frame& frame) {
+void FrontEnd::on_response(const std::string& machine, const wire::Frame& frame) {
   const TimePoint now = loop_now();
   switch (frame.body_type()) {
     case wire::Body::RequestRefused: {
       const auto* message = frame.body_as_RequestRefused();
       metrics_.count("pumicemast_entry_backend_refusals_total",
                      {{"reason", wire::EnumNameRefusalReason(message->reason())}});
-      carry_out(scheduler_.on_refused(message->id(), machine, now));
+      execute_actions(scheduler_.on_refused(message->id(), machine, now));
       return;
     }
     case wire::Body::AnswerHead: {
       const auto* message = frame.body_as_AnswerHead();
       const std::string type =
           message->content_type() == nullptr ? "" : message->content_type()->str();
-      carry_out(scheduler_.on_head(message->id(), machine, message->status(), type, now));
+      execute_actions(scheduler_.on_head(message->id(), machine, message->status(), type, now));
       return;
     }
     case wire::Body::AnswerData: {
@@ -274,12 +274,12 @@
       if (message->bytes() == nullptr) return;
       const std::string bytes(reinterpret_cast<const char*>(message->bytes()->data()),
                               message->bytes()->size());
-      carry_out(scheduler_.on_data(message->id(), machine, bytes, now));
+      execute_actions(scheduler_.on_data(message->id(), machine, bytes, now));
       return;
     }
     case wire::Body::AnswerEnd: {
       const auto* message = frame.body_as_AnswerEnd();
-      carry_out(scheduler_.on_end(message->id(), machine, message->whole(), now));
+      execute_actions(scheduler_.on_end(message->id(), machine, message->whole(), now));
       return;
     }
     default:
@@ -288,27 +288,27 @@
 }
 
 void FrontEnd::on_backend_lost(const std::string& machine) {
-  carry_out(scheduler_.on_backend_lost(machine, loop_now()));
+  execute_actions(scheduler_.on_backend_lost(machine, loop_now()));
 }
 
-void FrontEnd::on_capacity() { carry_out(scheduler_.on_capacity(loop_now())); }
+void FrontEnd::on_capacity() { execute_actions(scheduler_.on_capacity(loop_now())); }
 
-void FrontEnd::on_tick() { carry_out(scheduler_.on_tick(loop_now())); }
+void FrontEnd::on_tick() { execute_actions(scheduler_.on_tick(loop_now())); }
 
 void FrontEnd::on_configuration() { limiter_.configure(configuration_.all<Tenant>(), loop_now()); }
 
 void FrontEnd::shut_down() {
   shutting_down_ = true;
-  carry_out(scheduler_.on_shutdown(loop_now()));
+  execute_actions(scheduler_.on_shutdown(loop_now()));
 }
 
-void FrontEnd::carry_out(const SchedulerActions& actions) {
+void FrontEnd::execute_actions(const SchedulerActions& actions) {
   for (const SchedulerAction& action : actions) {
-    std::visit([this](const auto& typed) { act(typed); }, action);
+    std::visit([this](const auto& typed) { execute(typed); }, action);
   }
 }
 
-void FrontEnd::act(const SubmitToBackend& action) {
+void FrontEnd::execute(const SubmitToBackend& action) {
   const auto found = callers_.find(action.request);
   if (found == callers_.end()) return;
   const CallerRequest& request = found->second.request;
@@ -329,22 +329,22 @@
   message.resume_from_event = action.resume_from_event;
   const bool sent = hub_.send(action.machine, message);
   // Not connected any more: the request certainly did not reach the agent.
-  if (!sent) carry_out(scheduler_.on_refused(action.request, action.machine, loop_now()));
+  if (!sent) execute_actions(scheduler_.on_refused(action.request, action.machine, loop_now()));
 }
 
-void FrontEnd::act(const CancelAtBackend& action) {
+void FrontEnd::execute(const CancelAtBackend& action) {
   wire::CancelRequestT message;
   message.id = action.request;
   hub_.send(action.machine, message);
 }
 
-void FrontEnd::act(const StartAnswer& action) {
+void FrontEnd::execute(const StartAnswer& action) {
   const auto found = callers_.find(action.request);
   if (found == callers_.end()) return;
   Caller& caller = found->second;
   caller.status = action.status;
   caller.content_type = action.content_type;
-  caller.answer_started = true;
+  caller.response_started = true;
   observe_first_byte(caller);
   if (!caller.request.stream) return;
   caller.exchange->start_stream(
@@ -357,7 +357,7 @@
                    loop_now() - caller.started);
 }
 
-void FrontEnd::act(const AnswerBytes& action) {
+void FrontEnd::execute(const AnswerBytes& action) {
   const auto found = callers_.find(action.request);
   if (found == callers_.end()) return;
   if (found->second.request.stream) {
@@ -367,7 +367,7 @@
   }
 }
 
-void FrontEnd::act(const FinishAnswer& action) {
+void FrontEnd::execute(const FinishAnswer& action) {
   const auto found = callers_.find(action.request);
   if (found == callers_.end()) return;
   Caller& caller = found->second;
@@ -382,7 +382,7 @@
   finish(action.request, kOutcomeCompleted);
 }
 
-void FrontEnd::act(const RefuseRequest& action) {
+void FrontEnd::execute(const RefuseRequest& action) {
   const auto found = callers_.find(action.request);
   if (found == callers_.end()) return;
   Caller& caller = found->second;
@@ -393,7 +393,7 @@
   finish(action.request, error.outcome.c_str());
 }
 
-void FrontEnd::act(const AbortAnswer& action) {
+void FrontEnd::execute(const AbortAnswer& action) {
   const auto found = callers_.find(action.request);
   if (found == callers_.end()) return;
   Caller& caller = found->second;
--- a/src/entry/front_end.h
+++ b/src/entry/front_end.h
@@ -24,7 +24,7 @@
 
   void on_exchange(const HttpExchangePointer& exchange);
   /// RequestRefused, AnswerHead, AnswerData or AnswerEnd of an agent.
-  void on_answer(const std::string& machine, const wire::Frame& frame);
+  void on_response(const std::string& machine, const wire::Frame& frame);
   void on_backend_lost(const std::string& machine);
   void on_capacity();
   void on_tick();
@@ -41,7 +41,7 @@
     std::string claim;  ///< Name of the execution claim, "" for none.
     std::string tenant_label;
     TimePoint started{};
-    bool answer_started = false;
+    bool response_started = false;
     std::uint16_t status = 0;
     std::string content_type;
     std::string buffered;  ///< Answer that is sent in one piece.
@@ -53,14 +53,14 @@
   bool resolve(const CallerRequest& request, RoutingNeed& need, CallerError& error) const;
   bool resolve_model(const std::string& name, std::string& model) const;
   void refuse(HttpExchange& exchange, const CallerRequest& request, const CallerError& error);
-  void carry_out(const SchedulerActions& actions);
-  void act(const SubmitToBackend& action);
-  void act(const CancelAtBackend& action);
-  void act(const StartAnswer& action);
-  void act(const AnswerBytes& action);
-  void act(const FinishAnswer& action);
-  void act(const RefuseRequest& action);
-  void act(const AbortAnswer& action);
+  void execute_actions(const SchedulerActions& actions);
+  void execute(const SubmitToBackend& action);
+  void execute(const CancelAtBackend& action);
+  void execute(const StartAnswer& action);
+  void execute(const AnswerBytes& action);
+  void execute(const FinishAnswer& action);
+  void execute(const RefuseRequest& action);
+  void execute(const AbortAnswer& action);
   void observe_first_byte(const Caller& caller);
   void finish(RequestNumber number, const char* outcome);
   std::string tenant_label(const std::string& tenant) const;
