--- a/src/entry/agent_hub.cpp
+++ b/src/entry/agent_hub.cpp
@@ -91,7 +91,7 @@
   const BackendHello read = read_hello(hello);
   const auto previous = by_machine_.find(read.machine);
   if (previous != by_machine_.end()) {
-    // The agent came back before its old connection was seen to break.
+    // The agent reconnected before the loss of its old connection was detected.
     WireConnection* old = previous->second;
     sessions_.at(old).machine.clear();
     by_machine_.erase(previous);
--- a/src/entry/agent_hub.h
+++ b/src/entry/agent_hub.h
@@ -1,4 +1,4 @@
-/// The agents' connections to this entry.
+/// Accepts the connections of agents to this entry.
 #pragma once
 
 #include <functional>
@@ -17,7 +17,7 @@
   struct Callbacks {
     std::function<void(const BackendHello&)> on_hello;
     std::function<void(const std::string& machine, const BackendStatus&)> on_status;
-    /// RequestRefused, AnswerHead, AnswerData or AnswerEnd.
+    /// Receives RequestRefused, AnswerHead, AnswerData and AnswerEnd frames.
     std::function<void(const std::string& machine, const wire::Frame&)> on_response;
     std::function<void(const std::string& machine)> on_lost;
   };
@@ -25,7 +25,7 @@
   AgentHub(Metrics& metrics, Callbacks callbacks);
   leaf::result<void> listen(const Address& address);
 
-  /// Sends to a machine's agent. @return false when it is not connected.
+  /// Sends `message` to a machine's agent. @return false when the agent is not connected.
   template <class Message>
   bool send(const std::string& machine, const Message& message) {
     const auto found = by_machine_.find(machine);
@@ -34,13 +34,13 @@
     return true;
   }
   std::size_t connected() const { return by_machine_.size(); }
-  /// Breaks a connection whose agent is silent although TCP has not noticed.
+  /// Closes the connection to an agent that sends nothing although TCP reports no failure.
   void drop(const std::string& machine);
 
  private:
   struct Session {
     std::unique_ptr<WireConnection> connection;
-    std::string machine;  ///< "" before the hello.
+    std::string machine;  ///< "" until AgentHello arrives.
   };
   void on_incoming(std::unique_ptr<WireConnection> connection);
   void on_frame(WireConnection* connection, const wire::Frame& frame);
--- a/src/entry/assignment_builder.h
+++ b/src/entry/assignment_builder.h
@@ -11,18 +11,19 @@
 
 namespace pumicemast {
 
-/// Builds assignments and remembers what was sent, so that only changes go out.
+/// Builds assignments and records the last one sent, so that only changes are sent.
 class AssignmentBuilder {
  public:
-  /// The assignment of `machine`, or null when the one last sent still says the same.
+  /// @return the assignment of `machine`, or null when it equals the one last sent.
   std::unique_ptr<wire::AssignmentT> build_if_changed(const ConfigurationStore& configuration,
                                                       const BackendDirectory& directory,
                                                       const std::string& machine);
-  /// The agent connected anew: everything must be sent again.
+  /// Discards the assignment last sent, because a reconnected agent needs it again.
   void forget(const std::string& machine) { sent_.erase(machine); }
 
  private:
-  std::map<std::string, std::vector<std::uint8_t>> sent_;  ///< Serialized without revision.
+  std::map<std::string, std::vector<std::uint8_t>>
+      sent_;  ///< Serialized without revision, by machine.
 };
 
 }  // namespace pumicemast
--- a/src/entry/control_loop.cpp
+++ b/src/entry/control_loop.cpp
@@ -8,7 +8,8 @@
 namespace {
 
 constexpr char kControllerLease[] = "controller";
-/// A write that the watch has not shown by then is judged again from what is in force.
+/// A write that the watch has not delivered within this time is decided again from the
+/// configuration in force.
 constexpr Duration kPendingWriteTimeout = seconds(2);
 constexpr std::uint64_t kTakeoverJitterRangeMs = 1000;
 
@@ -119,7 +120,7 @@
 void ControlLoop::write(const std::string& kind, const std::string& name,
                         const nlohmann::json& value, ObjectVersion expected, TimePoint now) {
   const std::string key = kind + "/" + name + "@" + std::to_string(expected);
-  // The same version is not written twice: the first write may still be on its way.
+  // A write that expects the same version is not repeated: the first may still be in flight.
   if (pending_.contains(key)) return;
   pending_[key] = now + kPendingWriteTimeout;
   store_.write(kind, name, value, expected, [this, key, kind](const ObjectWriteResult& result) {
--- a/src/entry/control_loop.h
+++ b/src/entry/control_loop.h
@@ -1,5 +1,5 @@
-/// Competes for the controller lease and, while it holds it, carries out the rollout
-/// controller's decisions.
+/// Competes for the controller lease and executes the rollout controller's decisions while
+/// this entry holds the lease.
 #pragma once
 
 #include <map>
@@ -20,7 +20,7 @@
               const ConfigurationStore& configuration, const BackendDirectory& directory,
               Metrics& metrics, std::uint64_t incarnation);
   void start();
-  /// Lets others take over at once instead of after the lease's expiry.
+  /// Stops renewing the lease and making decisions; the lease expires after its time to live.
   void stop();
   const std::string& known_holder() const { return lease_.known_holder(); }
   bool is_controller() const { return was_holder_; }
@@ -46,7 +46,7 @@
   TimePoint next_lease_read_{};
   bool reading_lease_ = false;
   bool was_holder_ = false;
-  /// Writes under way or not seen by the watch yet, with the time after which to try again.
+  /// Writes in flight or not yet seen by the watch, with the time after which they are retried.
   std::map<std::string, TimePoint> pending_;
 };
 
--- a/src/entry/entry_daemon.cpp
+++ b/src/entry/entry_daemon.cpp
@@ -10,13 +10,13 @@
 
 using nlohmann::json;
 
-/// Changes within this time go out together.
+/// Assignment changes within this time are sent together.
 constexpr Duration kPushDelay = milliseconds(20);
 constexpr Duration kTickInterval = milliseconds(100);
-/// Longest wait for an accepted change to be in force at this entry before it is answered.
+/// Bounds the wait for an accepted change to be in force at this entry before the response.
 constexpr Duration kInForceTimeout = seconds(2);
 constexpr Duration kForgetLostAfter = seconds(600);
-/// A silent agent's connection is broken after this many silence limits.
+/// An agent's connection is closed when nothing arrives for this many silence limits.
 constexpr int kSilenceLimitsBeforeDrop = 4;
 
 std::uint64_t random_incarnation() {
@@ -151,7 +151,7 @@
 }
 
 void EntryDaemon::push_assignments() {
-  if (!configuration_.listed()) return;  // Nothing is known yet; order nothing.
+  if (!configuration_.listed()) return;  // Without a configuration, no assignment is known.
   for (const auto& [machine, backend] : directory_.all()) {
     if (!backend.connected) continue;
     const auto assignment = assignments_.build_if_changed(configuration_, directory_, machine);
@@ -161,7 +161,7 @@
 
 void EntryDaemon::poll_machine_list() {
   store_->list_machines([this](const MachineListResult& result) {
-    if (!result.answered) return;  // The last known list stays in force.
+    if (!result.answered) return;  // Keeps the last known list.
     directory_.on_machine_list(result.leaving);
   });
 }
--- a/src/entry/entry_daemon.h
+++ b/src/entry/entry_daemon.h
@@ -1,4 +1,4 @@
-/// The entry: wires the cores of one entry machine to their shells.
+/// The entry daemon: connects the decision cores of an entry to the network and the event loop.
 #pragma once
 
 #include <memory>
@@ -24,9 +24,9 @@
  public:
   EntryDaemon(EntrySettings settings, Charts charts, EventLoop& loop);
 
-  /// Binds its addresses and begins. Fails when an address is taken.
+  /// Binds the listening addresses and starts. Fails when an address is already in use.
   leaf::result<void> start();
-  /// Refuses new requests, lets those that run finish, then quits the loop.
+  /// Refuses new requests, lets running requests finish, then quits the event loop.
   void terminate();
 
  private:
@@ -35,7 +35,7 @@
   void push_assignments_soon();
   void poll_machine_list();
   void tick();
-  /// Closes the servers without cutting an answer off, and ends the loop after that.
+  /// Closes the servers once their responses are complete, then quits the event loop.
   void drain_servers();
   void handle_operator(const HttpExchangePointer& exchange);
   void handle_command(const HttpExchangePointer& exchange);
@@ -59,8 +59,8 @@
   std::unique_ptr<CommandExecutor> commands_;
   std::unique_ptr<HttpServer> callers_;
   std::unique_ptr<HttpServer> operators_;
-  /// A change that was accepted; answered once it is in force here, so that the operator's
-  /// next question to this entry sees it.
+  /// A finished operator command. An accepted change is reported once it is in force at this
+  /// entry, so that the operator's next query to this entry sees it.
   struct PendingCommand {
     HttpExchangePointer exchange;
     CommandResult result;
@@ -73,7 +73,7 @@
   Timer machine_list_timer_;
   Timer drain_timer_;
   bool terminating_ = false;
-  /// Of the servers for callers and operators, those that drain still; none before they begin to.
+  /// Number of servers (callers, operators) still draining; empty until draining starts.
   std::optional<int> draining_servers_;
 };
 
--- a/src/entry/execution_claims.cpp
+++ b/src/entry/execution_claims.cpp
@@ -10,7 +10,7 @@
     : store_(store), holder_(std::move(holder)) {}
 
 std::string ExecutionClaims::claim_name(const std::string& tenant, const std::string& key) {
-  // The length keeps tenant and key apart; the digest keeps callers' text out of names.
+  // The length separates tenant from key; the digest keeps text from callers out of names.
   return to_hex(sha256(std::to_string(tenant.size()) + ":" + tenant + key));
 }
 
@@ -51,7 +51,7 @@
   store_.read(
       ExecutionClaim::kKind, name, [this, name, attempt, on_done](const ObjectReadResult& read) {
         if (!read.answered || !read.exists) {
-          // An unanswered write may still arrive at the store, so nothing may run now.
+          // A write without a response may still reach the store, so the request must not run now.
           on_done(ClaimResult::unavailable);
           return;
         }
@@ -82,7 +82,8 @@
   if (found.empty()) return;
   ExecutionClaim claim = found.mapped().claim;
   claim.state = ran ? "FINISHED" : "NOT_RUN";
-  // A lost update leaves CLAIMED behind, which refuses further attempts: the safe side.
+  // If this update is lost, the state stays CLAIMED and further attempts are refused, which
+  // is safe.
   store_.write(ExecutionClaim::kKind, name, to_json(claim), found.mapped().version,
                [](const ObjectWriteResult&) {});
 }
--- a/src/entry/execution_claims.h
+++ b/src/entry/execution_claims.h
@@ -1,8 +1,8 @@
-/// Claims the one run of a non-repeatable request that carries an idempotency key.
+/// Claims the single execution of a non-repeatable request that has an idempotency key.
 ///
-/// The claim is an object that only one writer can create, so that a caller's own retries,
-/// sent to whichever entry, run at most once. Without the platform nothing can be claimed,
-/// and the request is refused as not run (docs/design/at-most-once.md).
+/// The claim is an object that only one writer can create, so a caller's retries run at most
+/// once, whichever entries receive them. While the platform is unreachable nothing can be
+/// claimed, and the request is refused as not run (docs/design/at-most-once.md).
 #pragma once
 
 #include <functional>
@@ -14,10 +14,10 @@
 namespace pumicemast {
 
 enum class ClaimResult {
-  granted,      ///< This entry may run it.
+  granted,      ///< This entry may run the request.
   taken,        ///< Another attempt with this key may run or have run.
-  finished,     ///< An earlier attempt with this key ran to its end.
-  unavailable,  ///< The platform could not be asked.
+  finished,     ///< An earlier attempt with this key completed.
+  unavailable,  ///< The platform did not confirm or deny the claim.
 };
 
 class ExecutionClaims {
@@ -25,10 +25,10 @@
   /// @param holder  unique name of this process and incarnation.
   ExecutionClaims(ObjectStore& store, std::string holder);
 
-  /// @param name  from claim_name(). Answers exactly once.
+  /// Calls `on_done` exactly once. @param name  from claim_name().
   void claim(const std::string& name, std::function<void(ClaimResult)> on_done);
-  /// The claimed request ended. `ran` is false only when it certainly did not run, which
-  /// frees the key for another attempt.
+  /// Records the end of a claimed request. `ran` is false only if the request certainly did not
+  /// run; the key is then free for another attempt.
   void settle(const std::string& name, bool ran);
 
   static std::string claim_name(const std::string& tenant, const std::string& key);
--- a/src/entry/front_end.cpp
+++ b/src/entry/front_end.cpp
@@ -25,12 +25,12 @@
     case RefusalCode::shutting_down:
       error.status = 503;
       error.type = "overloaded_error";
-      error.message = "No replica has room for the request now.";
+      error.message = "No replica has capacity for the request.";
       break;
     case RefusalCode::queue_full:
       error.status = 429;
       error.type = "rate_limit_error";
-      error.message = "Too many requests wait already.";
+      error.message = "Too many requests are queued.";
       break;
     case RefusalCode::deadline_passed:
       error.status = 504;
@@ -54,19 +54,20 @@
   switch (result) {
     case ClaimResult::finished:
       error.code = "already_executed";
-      error.message = "A request with this idempotency key ran to its end already.";
+      error.message = "A request with this idempotency key has already completed.";
       error.outcome = kOutcomeCompleted;
       break;
     case ClaimResult::taken:
       error.code = "already_claimed";
-      error.message = "Another attempt with this idempotency key runs or may have run.";
+      error.message = "Another attempt with this idempotency key is running or may have run.";
       error.outcome = kOutcomeUnknown;
       break;
     default:
       error.status = 503;
       error.type = "server_error";
       error.code = "claim_unavailable";
-      error.message = "The single execution of this request cannot be assured now.";
+      error.message =
+          "The platform cannot confirm the claim to a single execution of this request.";
       error.outcome = kOutcomeNotRun;
       error.retry_after = kClaimRetryAfter;
       break;
@@ -99,7 +100,7 @@
       limiter_(settings.entry_count) {}
 
 std::string FrontEnd::tenant_label(const std::string& tenant) const {
-  // Names come from callers: only configured ones may become label values.
+  // Callers choose the tenant name, so only configured tenants become metric label values.
   return configuration_.find<Tenant>(tenant) != nullptr ? tenant : kOtherTenantsLabel;
 }
 
@@ -193,7 +194,7 @@
     metrics_.count("pumicemast_entry_limited_total",
                    {{"tenant", tenant_label(request.tenant)}, {"limit", limit.reason}});
     refuse(*exchange, request,
-           {429, "rate_limit_error", "tenant_limit", "The tenant's limit is reached.",
+           {429, "rate_limit_error", "tenant_limit", "The tenant's request limit is reached.",
             kOutcomeNotRun, limit.retry_after});
     return;
   }
@@ -238,7 +239,7 @@
   Caller& caller = callers_.at(number);
   RequestProfile profile;
   CallerError unresolved;
-  resolve(caller.request, profile.need, unresolved);  // Judged when it was admitted.
+  resolve(caller.request, profile.need, unresolved);  // Succeeded on admission.
   if (caller.request.is_model_call && profile.need.model != caller.request.model) {
     caller.request.body = with_model_name(caller.request.body, profile.need.model);
   }
@@ -328,7 +329,7 @@
   message.priority = found->second.priority;
   message.resume_from_event = action.resume_from_event;
   const bool sent = hub_.send(action.machine, message);
-  // Not connected any more: the request certainly did not reach the agent.
+  // The agent is no longer connected, so the request certainly did not reach it.
   if (!sent) execute_actions(scheduler_.on_refused(action.request, action.machine, loop_now()));
 }
 
@@ -399,7 +400,7 @@
   Caller& caller = found->second;
   const CallerError error = error_for(action.code, Outcome::unknown, Duration::zero());
   metrics_.count("pumicemast_entry_refusals_total", {{"code", error.code}});
-  // No [DONE] follows, so that the caller knows the answer is not whole.
+  // Without a final [DONE] the caller recognizes that the response is incomplete.
   caller.exchange->write(stream_error_event(error));
   caller.exchange->finish();
   if (!caller.claim.empty()) claims_.settle(caller.claim, true);
--- a/src/entry/front_end.h
+++ b/src/entry/front_end.h
@@ -1,5 +1,5 @@
-/// Callers' requests: reads them, applies limits and claims, and carries out what the
-/// request scheduler decides.
+/// Handles requests from callers: parses them, applies tenant limits and execution claims, and
+/// executes the request scheduler's decisions.
 #pragma once
 
 #include <functional>
@@ -23,13 +23,13 @@
            BackendDirectory& directory, AgentHub& hub, ExecutionClaims& claims, Metrics& metrics);
 
   void on_exchange(const HttpExchangePointer& exchange);
-  /// RequestRefused, AnswerHead, AnswerData or AnswerEnd of an agent.
+  /// Handles a RequestRefused, AnswerHead, AnswerData or AnswerEnd frame of an agent.
   void on_response(const std::string& machine, const wire::Frame& frame);
   void on_backend_lost(const std::string& machine);
   void on_capacity();
   void on_tick();
   void on_configuration();
-  /// Refuses new and waiting requests; those that run go on.
+  /// Refuses new and queued requests; running requests continue.
   void shut_down();
   std::size_t active() const { return callers_.size(); }
   const RequestScheduler& scheduler() const { return scheduler_; }
@@ -44,7 +44,7 @@
     bool response_started = false;
     std::uint16_t status = 0;
     std::string content_type;
-    std::string buffered;  ///< Answer that is sent in one piece.
+    std::string buffered;  ///< Body of a response that is not streamed.
     int priority = 0;
   };
 
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -1,4 +1,4 @@
-/// pumicemast-entry: takes callers' requests and shares the fleet's control duties.
+/// pumicemast-entry: routes requests from callers and competes for the controller role.
 #include "common/daemon_main.h"
 #include "entry/entry_daemon.h"
 
--- a/tests/entry/execution_claims_test.cpp
+++ b/tests/entry/execution_claims_test.cpp
@@ -8,15 +8,15 @@
 
 class ExecutionClaimsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ExecutionClaimsTest);
-  CPPUNIT_TEST(grants_one_claim_over_all_entries);
-  CPPUNIT_TEST(a_lost_answer_is_judged_by_what_is_stored);
-  CPPUNIT_TEST(nothing_is_granted_without_the_platform);
+  CPPUNIT_TEST(grants_one_claim_across_all_entries);
+  CPPUNIT_TEST(a_lost_response_is_resolved_by_the_stored_claim);
+  CPPUNIT_TEST(no_claim_is_granted_without_the_platform);
   CPPUNIT_TEST(a_request_that_did_not_run_frees_its_key);
-  CPPUNIT_TEST(names_keep_tenants_apart);
+  CPPUNIT_TEST(claim_names_differ_between_tenants);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void grants_one_claim_over_all_entries() {
+  void grants_one_claim_across_all_entries() {
     CPPUNIT_ASSERT(ClaimResult::granted == claim(first_));
     CPPUNIT_ASSERT(ClaimResult::taken == claim(second_));
     CPPUNIT_ASSERT(ClaimResult::taken == claim(first_));
@@ -24,13 +24,13 @@
     CPPUNIT_ASSERT(ClaimResult::finished == claim(second_));
   }
 
-  void a_lost_answer_is_judged_by_what_is_stored() {
+  void a_lost_response_is_resolved_by_the_stored_claim() {
     store_.faults = {tests::WriteFault::lost_after};
     CPPUNIT_ASSERT(ClaimResult::granted == claim(first_));
     CPPUNIT_ASSERT(ClaimResult::taken == claim(second_));
   }
 
-  void nothing_is_granted_without_the_platform() {
+  void no_claim_is_granted_without_the_platform() {
     store_.faults = {tests::WriteFault::refused, tests::WriteFault::lost_before,
                      tests::WriteFault::lost_after};
     CPPUNIT_ASSERT(ClaimResult::unavailable == claim(first_));
@@ -38,7 +38,7 @@
     store_.readable = false;
     CPPUNIT_ASSERT(ClaimResult::unavailable == claim(first_));
     store_.readable = true;
-    // That claim did take effect, and nobody may run under it any more.
+    // The last claim did reach the store, so no further attempt may run with this key.
     CPPUNIT_ASSERT(ClaimResult::taken == claim(second_));
   }
 
@@ -49,7 +49,7 @@
     CPPUNIT_ASSERT(ClaimResult::taken == claim(first_));
   }
 
-  void names_keep_tenants_apart() {
+  void claim_names_differ_between_tenants() {
     CPPUNIT_ASSERT(ExecutionClaims::claim_name("a", "bc") !=
                    ExecutionClaims::claim_name("ab", "c"));
     CPPUNIT_ASSERT_EQUAL(std::size_t{64}, name_.size());
