--- a/src/agent/agent_daemon.cpp
+++ b/src/agent/agent_daemon.cpp
@@ -28,15 +28,15 @@
   transfer_ = std::make_unique<WeightTransfer>(
       settings_, engine_, metrics_,
       WeightTransfer::Callbacks{
-          [this](const std::string& digest) { carry_out(replicas_.on_verified(digest)); },
+          [this](const std::string& digest) { execute_actions(replicas_.on_verified(digest)); },
           [this] { report_soon(); }});
   supervisor_ = std::make_unique<EngineSupervisor>(
       engine_, metrics_,
       EngineSupervisor::Callbacks{[this](const EngineState& state) { on_engine_ready(state); },
-                                  [this] { carry_out(replicas_.on_engine_lost()); },
+                                  [this] { execute_actions(replicas_.on_engine_lost()); },
                                   [this](const std::string& model, const std::string& digest,
                                          bool activated, const std::string& reason) {
-                                    carry_out(
+                                    execute_actions(
                                         replicas_.on_activated(model, digest, activated, reason));
                                   }});
   runner_ = std::make_unique<RequestRunner>(
@@ -72,7 +72,7 @@
 void AgentDaemon::on_engine_ready(const EngineState& state) {
   transfer_->set_engine_contents(state.held);
   for (const auto& [model, serving] : state.serving) {
-    carry_out(replicas_.on_engine_serves(model, {serving.version, serving.digest}));
+    execute_actions(replicas_.on_engine_serves(model, {serving.version, serving.digest}));
   }
   if (entries_->connected() == 0) entries_->start();
   report_soon();
@@ -155,12 +155,12 @@
   std::vector<ReplicaOrder> orders;
   struct TransferOrder {
     bool paused = false;
-    bool spare_origin = false;
+    bool minimize_origin_bytes = false;
     int priority = 0;
   };
   std::map<std::string, TransferOrder> transfers;
-  auto& told = participants_[entry];
-  told.clear();
+  auto& assigned = participants_[entry];
+  assigned.clear();
   const auto* models = assignment.models();
   for (flatbuffers::uoffset_t index = 0; models != nullptr && index < models->size(); ++index) {
     const wire::ModelOrder& model = *models->Get(index);
@@ -181,15 +181,15 @@
     }
     for (const std::string& digest : {order.stage.digest, order.serve.digest}) {
       if (digest.empty()) continue;
-      told[digest] = peers;
+      assigned[digest] = peers;
       transfers[digest] = {model.paused(), text_of(model.objective()) == "origin_bytes",
                            model.priority()};
     }
     orders.push_back(std::move(order));
   }
-  carry_out(replicas_.on_orders(orders));
+  execute_actions(replicas_.on_orders(orders));
   for (const auto& [digest, transfer] : transfers) {
-    transfer_->set_objective(digest, transfer.spare_origin);
+    transfer_->set_objective(digest, transfer.minimize_origin_bytes);
     transfer_->set_priority(digest, transfer.priority);
     transfer_->set_paused(digest, transfer.paused);
   }
@@ -198,44 +198,44 @@
 }
 
 void AgentDaemon::apply_participants() {
-  std::map<std::string, std::set<TransferPeer>> joined;
+  std::map<std::string, std::set<TransferPeer>> merged;
   for (const auto& [entry, digests] : participants_) {
-    for (const auto& [digest, peers] : digests) joined[digest].insert(peers.begin(), peers.end());
+    for (const auto& [digest, peers] : digests) merged[digest].insert(peers.begin(), peers.end());
   }
-  for (const auto& [digest, peers] : joined) transfer_->set_participants(digest, peers);
+  for (const auto& [digest, peers] : merged) transfer_->set_participants(digest, peers);
 }
 
-void AgentDaemon::carry_out(const ReplicaActions& actions) {
+void AgentDaemon::execute_actions(const ReplicaActions& actions) {
   for (const ReplicaAction& action : actions) {
-    std::visit([this](const auto& typed) { act(typed); }, action);
+    std::visit([this](const auto& typed) { execute(typed); }, action);
   }
   if (!actions.empty()) report_soon();
 }
 
-void AgentDaemon::act(const StartFetch& action) {
+void AgentDaemon::execute(const StartFetch& action) {
   fetch_started_.try_emplace(action.version.digest, loop_now());
   transfer_->start(action.version.digest);
   apply_participants();
 }
 
-void AgentDaemon::act(const StopFetch& action) { transfer_->stop(action.digest); }
+void AgentDaemon::execute(const StopFetch& action) { transfer_->stop(action.digest); }
 
-void AgentDaemon::act(const CloseAdmission& action) {
+void AgentDaemon::execute(const CloseAdmission& action) {
   gate_.close(action.model);
   check_idle(action.model);
 }
 
-void AgentDaemon::act(const OpenAdmission& action) { gate_.open(action.model, action.digest); }
+void AgentDaemon::execute(const OpenAdmission& action) { gate_.open(action.model, action.digest); }
 
-void AgentDaemon::act(const ActivateVersion& action) { supervisor_->activate(action); }
+void AgentDaemon::execute(const ActivateVersion& action) { supervisor_->activate(action); }
 
-void AgentDaemon::act(const DropVersion& action) {
+void AgentDaemon::execute(const DropVersion& action) {
   transfer_->stop(action.digest);
   fetch_started_.erase(action.digest);
   supervisor_->drop(action);
 }
 
-void AgentDaemon::act(const ReplicaChanged& action) {
+void AgentDaemon::execute(const ReplicaChanged& action) {
   metrics_.count("pumicemast_agent_replica_transitions_total", {{"to", action.to}});
   LOG(INFO) << "replica machine=" << settings_.machine << " model=" << action.model
             << " version=" << action.version << " state=" << action.from << "->" << action.to;
@@ -261,7 +261,7 @@
         std::unique_ptr<Idle> idle(static_cast<Idle*>(data));
         AgentDaemon* daemon = idle->daemon;
         if (daemon->gate_.in_flight(idle->model) == 0) {
-          daemon->carry_out(daemon->replicas_.on_idle(idle->model));
+          daemon->execute_actions(daemon->replicas_.on_idle(idle->model));
         }
         return G_SOURCE_REMOVE;
       },
--- a/src/agent/engine_supervisor.cpp
+++ b/src/agent/engine_supervisor.cpp
@@ -7,7 +7,7 @@
 
 constexpr Duration kPollInterval = milliseconds(500);
 /// Polls without an answer before the engine counts as lost; it may be busy for a moment.
-constexpr std::uint32_t kSilentPolls = 3;
+constexpr std::uint32_t kUnansweredPollsUntilLost = 3;
 
 }  // namespace
 
@@ -30,14 +30,14 @@
 
 void EngineSupervisor::on_state(const EngineState& state) {
   if (!state.answered) {
-    if (!ready_ || ++silent_polls_ < kSilentPolls) return;
+    if (!ready_ || ++unanswered_polls_ < kUnansweredPollsUntilLost) return;
     ready_ = false;
     metrics_.count("pumicemast_agent_engine_lost_total", {{"cause", "silent"}});
     LOG(WARNING) << "engine state=READY->LOST cause=silent";
     callbacks_.on_engine_lost();
     return;
   }
-  silent_polls_ = 0;
+  unanswered_polls_ = 0;
   const bool restarted = !incarnation_.empty() && state.incarnation != incarnation_;
   if (restarted && ready_) {
     metrics_.count("pumicemast_agent_engine_lost_total", {{"cause", "restart"}});
--- a/src/agent/engine_supervisor.h
+++ b/src/agent/engine_supervisor.h
@@ -42,7 +42,7 @@
   std::uint64_t memory_bytes_ = 0;
   bool ready_ = false;
   bool polling_ = false;
-  std::uint32_t silent_polls_ = 0;
+  std::uint32_t unanswered_polls_ = 0;
 };
 
 }  // namespace pumicemast
--- a/src/agent/entry_links.cpp
+++ b/src/agent/entry_links.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Duration kConnectTimeout = seconds(3);
-constexpr std::int64_t kFirstRetryMs = 100;
+constexpr std::int64_t kInitialBackoffMs = 100;
 constexpr std::uint32_t kMaximumDoublings = 4;
 
 }  // namespace
@@ -63,8 +63,9 @@
 }
 
 void EntryLinks::retry_later(Link& link) {
-  const std::int64_t limit_ms = kFirstRetryMs << std::min(link.failures++, kMaximumDoublings);
-  const std::int64_t delay_ms = kFirstRetryMs / 2 + static_cast<std::int64_t>(random_()) % limit_ms;
+  const std::int64_t limit_ms = kInitialBackoffMs << std::min(link.failures++, kMaximumDoublings);
+  const std::int64_t delay_ms =
+      kInitialBackoffMs / 2 + static_cast<std::int64_t>(random_()) % limit_ms;
   link.retry.start_once(milliseconds(delay_ms), [this, &link] { connect(link); });
 }
 
--- a/src/agent/local_copies.cpp
+++ b/src/agent/local_copies.cpp
@@ -4,11 +4,11 @@
 
 std::vector<LocalCopy> plan_local_copies(const std::vector<Sha256>& wanted, const ChunkSet& have,
                                          const std::vector<HeldVersion>& others) {
-  struct Place {
+  struct ChunkLocation {
     const std::string* digest;
     ChunkIndex chunk;
   };
-  std::map<Sha256, Place> available;
+  std::map<Sha256, ChunkLocation> available;
   for (const HeldVersion& other : others) {
     other.held.for_each([&](ChunkIndex chunk) {
       available[other.hashes[chunk]] = {&other.digest, chunk};
--- a/src/agent/manifest_fetcher.cpp
+++ b/src/agent/manifest_fetcher.cpp
@@ -16,15 +16,15 @@
     on_manifest_(manifest, 0);
     return;
   }
-  if (!pending_.contains(digest)) ask(digest);
+  if (!pending_.contains(digest)) request_manifest(digest);
 }
 
-void ManifestFetcher::ask(const std::string& digest) {
+void ManifestFetcher::request_manifest(const std::string& digest) {
   pending_[digest].call = origin_.read_manifest(
-      digest, [this, digest](const WeightReadResult& result) { on_answer(digest, result); });
+      digest, [this, digest](const WeightReadResult& result) { on_response(digest, result); });
 }
 
-void ManifestFetcher::on_answer(const std::string& digest, const WeightReadResult& result) {
+void ManifestFetcher::on_response(const std::string& digest, const WeightReadResult& result) {
   const ManifestPointer manifest = handle_error(
       [&]() -> leaf::result<ManifestPointer> {
         if (!result.found) return ManifestPointer();
@@ -35,7 +35,8 @@
       [](const Error&) { return ManifestPointer(); });
   if (!manifest) {
     metrics_.count("pumicemast_agent_manifest_failures_total");
-    pending_[digest].retry.start_once(result.retry_after, [this, digest] { ask(digest); });
+    pending_[digest].retry.start_once(result.retry_after,
+                                      [this, digest] { request_manifest(digest); });
     return;
   }
   pending_.erase(digest);
--- a/src/agent/manifest_fetcher.h
+++ b/src/agent/manifest_fetcher.h
@@ -32,8 +32,8 @@
     HttpCallPointer call;
     Timer retry;
   };
-  void ask(const std::string& digest);
-  void on_answer(const std::string& digest, const WeightReadResult& result);
+  void request_manifest(const std::string& digest);
+  void on_response(const std::string& digest, const WeightReadResult& result);
 
   WeightStoreClient& origin_;
   Metrics& metrics_;
--- a/src/agent/request_runner.cpp
+++ b/src/agent/request_runner.cpp
@@ -76,7 +76,7 @@
     return;
   }
   metrics_.count("pumicemast_agent_requests_admitted_total");
-  Running& running = running_[key];
+  RunningRequest& running = running_[key];
   running.model = model;
   running.non_repeatable = submit.non_repeatable();
   running.started = loop_now();
@@ -89,7 +89,7 @@
                      message.bytes.assign(bytes.begin(), bytes.end());
                      send(key.first, message);
                    },
-                   [this, key](bool whole) { end(key, whole); }});
+                   [this, key](bool complete) { end(key, complete); }});
 }
 
 void RequestRunner::on_head(const Key& key, const std::string& digest, const HttpResponse& head) {
@@ -111,14 +111,14 @@
   send(key.first, message);
 }
 
-void RequestRunner::end(const Key& key, bool whole) {
+void RequestRunner::end(const Key& key, bool complete) {
   const auto found = running_.find(key);
   if (found == running_.end()) return;
   wire::AnswerEndT message;
   message.id = key.second;
-  message.whole = whole;
+  message.whole = complete;
   send(key.first, message);
-  metrics_.count("pumicemast_agent_requests_finished_total", {{"whole", whole ? "yes" : "no"}});
+  metrics_.count("pumicemast_agent_requests_finished_total", {{"whole", complete ? "yes" : "no"}});
   metrics_.observe("pumicemast_agent_request_seconds",
                    {{"class", found->second.model.empty() ? "service" : "model"}},
                    loop_now() - found->second.started);
--- a/src/agent/request_runner.h
+++ b/src/agent/request_runner.h
@@ -37,7 +37,7 @@
 
  private:
   using Key = std::pair<EntryNumber, std::uint64_t>;
-  struct Running {
+  struct RunningRequest {
     std::string model;
     bool non_repeatable = false;
     HttpCallPointer call;
@@ -48,7 +48,7 @@
   void send(EntryNumber entry, const Message& message);
   void refuse(const Key& key, wire::RefusalReason reason);
   void on_head(const Key& key, const std::string& digest, const HttpResponse& head);
-  void end(const Key& key, bool whole);
+  void end(const Key& key, bool complete);
   void remove(const Key& key);
 
   EngineClient& engine_;
@@ -56,7 +56,7 @@
   Metrics& metrics_;
   bool is_engine_;
   Callbacks callbacks_;
-  std::map<Key, Running> running_;
+  std::map<Key, RunningRequest> running_;
 };
 
 }  // namespace pumicemast
--- a/src/agent/link_shares.h
+++ b/src/agent/request_window.h
@@ -9,14 +9,14 @@
 
 namespace pumicemast {
 
-struct LinkDemand {
+struct TransferDemand {
   int priority = 0;
-  bool moving = false;  ///< Neither complete nor paused.
+  bool active = false;  ///< Neither complete nor paused.
 };
 
 /// @param window  requests that all versions together may have open.
 /// @return for each of `demands` the requests that it may have open.
-std::vector<std::uint32_t> share_window(const std::vector<LinkDemand>& demands,
-                                        std::uint32_t window);
+std::vector<std::uint32_t> allocate_request_window(const std::vector<TransferDemand>& demands,
+                                                   std::uint32_t window);
 
 }  // namespace pumicemast
--- a/src/agent/weight_transfer.cpp
+++ b/src/agent/weight_transfer.cpp
@@ -10,7 +10,7 @@
 constexpr Duration kAnnounceInterval = milliseconds(20);
 constexpr Duration kRestartDelay = seconds(1);
 /// Before a chunk that the engine did not take is drawn from the origin again.
-constexpr Duration kUnwrittenPause = seconds(1);
+constexpr Duration kChunkWriteRetryDelay = seconds(1);
 
 PeerId peer_id(const std::string& machine) { return stable_hash(machine); }
 
@@ -53,7 +53,7 @@
     transfer.swarm.reset();
     transfer.opened = false;
     transfer.origin_calls.clear();
-    if (transfer.manifest) begin_swarm(transfer);
+    if (transfer.manifest) start_swarm(transfer);
   }
 }
 
@@ -72,12 +72,12 @@
 void WeightTransfer::restart(const std::string& digest) {
   // What the engine really holds counts, not what was sent to it.
   engine_.read_state([this, digest](const EngineState& state) {
-    Transfer* again = find(digest);
-    if (again == nullptr || !state.answered) return;
+    Transfer* current = find(digest);
+    if (current == nullptr || !state.answered) return;
     engine_contents_ = state.held;
-    again->swarm.reset();
-    again->opened = false;
-    begin_swarm(*again);
+    current->swarm.reset();
+    current->opened = false;
+    start_swarm(*current);
   });
 }
 
@@ -94,10 +94,10 @@
   Transfer* transfer = find(manifest->digest());
   if (transfer == nullptr || transfer->manifest) return;
   transfer->manifest = manifest;
-  begin_swarm(*transfer);
+  start_swarm(*transfer);
 }
 
-void WeightTransfer::begin_swarm(Transfer& transfer) {
+void WeightTransfer::start_swarm(Transfer& transfer) {
   const std::string digest = transfer.digest;
   engine_.write_manifest(
       digest, transfer.manifest->serialize(), [this, digest](const EngineResult& result) {
@@ -116,8 +116,9 @@
         options.window = settings_.window;
         options.upload_slots = settings_.upload_slots;
         options.announce_interval = kAnnounceInterval;
-        apply_objective(opened->spare_origin ? SwarmObjective::origin_bytes : SwarmObjective::time,
-                        options);
+        apply_objective(
+            opened->minimize_origin_bytes ? SwarmObjective::origin_bytes : SwarmObjective::time,
+            options);
         const auto held = engine_contents_.find(digest);
         const ChunkIndex count = opened->manifest->chunk_count();
         ChunkSet have = held != engine_contents_.end() && held->second.size() == count
@@ -132,9 +133,9 @@
           opened->swarm->on_peer_joined(
               peer, ChunkSet::from_bytes(count, bitmap.data(), bitmap.size()), loop_now(), actions);
         }
-        carry_out(digest, actions);
-        Transfer* still = find(digest);
-        if (still != nullptr) apply_membership(*still);
+        execute_actions(digest, actions);
+        Transfer* remaining = find(digest);
+        if (remaining != nullptr) apply_membership(*remaining);
       });
 }
 
@@ -174,7 +175,7 @@
                              engine_contents_[digest] = written->swarm->have();
                              SwarmActions actions;
                              written->swarm->on_local_copy_done(chunk, loop_now(), actions);
-                             carry_out(digest, actions);
+                             execute_actions(digest, actions);
                            });
                      });
 }
@@ -200,7 +201,7 @@
   transfer.swarm->on_membership(
       std::make_shared<SwarmMembership>(std::move(participants), stable_hash(transfer.digest)),
       loop_now(), actions);
-  carry_out(transfer.digest, actions);
+  execute_actions(transfer.digest, actions);
 }
 
 void WeightTransfer::set_paused(const std::string& digest, bool paused) {
@@ -210,12 +211,12 @@
   if (!transfer->swarm) return;
   SwarmActions actions;
   transfer->swarm->set_paused(paused, loop_now(), actions);
-  carry_out(digest, actions);
+  execute_actions(digest, actions);
 }
 
-void WeightTransfer::set_objective(const std::string& digest, bool spare_origin) {
+void WeightTransfer::set_objective(const std::string& digest, bool minimize_origin_bytes) {
   Transfer* transfer = find(digest);
-  if (transfer != nullptr) transfer->spare_origin = spare_origin;
+  if (transfer != nullptr) transfer->minimize_origin_bytes = minimize_origin_bytes;
 }
 
 void WeightTransfer::set_priority(const std::string& digest, int priority) {
@@ -223,22 +224,22 @@
   if (transfer != nullptr) transfer->priority = priority;
 }
 
-void WeightTransfer::share_links() {
-  std::vector<Transfer*> moving;
-  std::vector<LinkDemand> demands;
+void WeightTransfer::allocate_request_windows() {
+  std::vector<Transfer*> with_swarm;
+  std::vector<TransferDemand> demands;
   for (auto& [digest, transfer] : transfers_) {
     if (!transfer.swarm) continue;
-    moving.push_back(&transfer);
+    with_swarm.push_back(&transfer);
     demands.push_back({transfer.priority, !transfer.swarm->complete() && !transfer.paused});
   }
-  const std::vector<std::uint32_t> shares = share_window(demands, settings_.window);
-  for (std::size_t index = 0; index < moving.size(); ++index) {
-    moving[index]->swarm->set_limits(shares[index], settings_.upload_slots);
+  const std::vector<std::uint32_t> shares = allocate_request_window(demands, settings_.window);
+  for (std::size_t index = 0; index < with_swarm.size(); ++index) {
+    with_swarm[index]->swarm->set_limits(shares[index], settings_.upload_slots);
   }
 }
 
 void WeightTransfer::tick() {
-  share_links();
+  allocate_request_windows();
   std::vector<std::string> digests;
   for (const auto& [digest, transfer] : transfers_) {
     if (transfer.swarm) digests.push_back(digest);
@@ -248,7 +249,7 @@
     if (transfer == nullptr || !transfer->swarm) continue;
     SwarmActions actions;
     transfer->swarm->on_tick(loop_now(), actions);
-    carry_out(digest, actions);
+    execute_actions(digest, actions);
   }
 }
 
@@ -272,7 +273,7 @@
   }
   SwarmActions actions;
   apply_swarm_frame(*transfer->swarm, peer, frame, loop_now(), actions);
-  carry_out(version, actions);
+  execute_actions(version, actions);
 }
 
 void WeightTransfer::on_join(PeerId peer, const wire::SwarmJoin& join) {
@@ -289,18 +290,18 @@
       peer, ChunkSet::from_bytes(transfer->manifest->chunk_count(), bitmap.data(), bitmap.size()),
       loop_now(), actions);
   if (!join.reply()) send_join(*transfer, peer, true);
-  carry_out(digest, actions);
+  execute_actions(digest, actions);
 }
 
 void WeightTransfer::on_chunk_data(PeerId peer, const wire::ChunkData& data) {
   if (data.bytes() == nullptr) return;
   std::string bytes(reinterpret_cast<const char*>(data.bytes()->data()), data.bytes()->size());
   downlink_.charge(bytes.size());
-  take_in(data.digest()->str(), peer, data.chunk(), std::move(bytes));
+  receive_chunk(data.digest()->str(), peer, data.chunk(), std::move(bytes));
 }
 
-void WeightTransfer::take_in(const std::string& digest, std::optional<PeerId> source,
-                             ChunkIndex chunk, std::string bytes) {
+void WeightTransfer::receive_chunk(const std::string& digest, std::optional<PeerId> source,
+                                   ChunkIndex chunk, std::string bytes) {
   Transfer* transfer = find(digest);
   if (transfer == nullptr || !transfer->swarm) return;
   (source ? totals_.peer_bytes : totals_.origin_bytes) += bytes.size();
@@ -309,13 +310,13 @@
     metrics_.count("pumicemast_agent_corrupt_chunks_total",
                    {{"source", source ? "peer" : "origin"}});
     transfer->swarm->on_chunk(source, chunk, ChunkArrival::corrupt, loop_now(), actions);
-    carry_out(digest, actions);
+    execute_actions(digest, actions);
     return;
   }
   if (transfer->swarm->have().contains(chunk)) {
     totals_.duplicate_bytes += bytes.size();
     transfer->swarm->on_chunk(source, chunk, ChunkArrival::verified, loop_now(), actions);
-    carry_out(digest, actions);
+    execute_actions(digest, actions);
     return;
   }
   staged_.write(
@@ -337,10 +338,10 @@
     if (source) {
       transfer->swarm->on_refused(*source, chunk, loop_now(), actions);
     } else {
-      transfer->swarm->on_origin_failed(chunk, kUnwrittenPause, loop_now(), actions);
+      transfer->swarm->on_origin_failed(chunk, kChunkWriteRetryDelay, loop_now(), actions);
     }
   }
-  carry_out(digest, actions);
+  execute_actions(digest, actions);
   if (written) callbacks_.on_progress();
 }
 
@@ -353,19 +354,19 @@
     if (transfer == nullptr || !transfer->swarm) continue;
     SwarmActions actions;
     transfer->swarm->on_peer_lost(peer, loop_now(), actions);
-    carry_out(digest, actions);
+    execute_actions(digest, actions);
   }
 }
 
-void WeightTransfer::carry_out(const std::string& digest, const SwarmActions& actions) {
+void WeightTransfer::execute_actions(const std::string& digest, const SwarmActions& actions) {
   for (const SwarmAction& action : actions) {
     Transfer* transfer = find(digest);  // An action may end the transfer.
     if (transfer == nullptr) return;
-    std::visit([&](const auto& typed) { act(*transfer, typed); }, action);
+    std::visit([&](const auto& typed) { execute(*transfer, typed); }, action);
   }
 }
 
-void WeightTransfer::act(Transfer& transfer, const RequestFromOrigin& action) {
+void WeightTransfer::execute(Transfer& transfer, const RequestFromOrigin& action) {
   const std::string digest = transfer.digest;
   const ChunkIndex chunk = action.chunk;
   const std::string hash = to_hex(transfer.manifest->chunk_hashes()[chunk]);
@@ -375,21 +376,21 @@
         if (waiting == nullptr || !waiting->swarm) return;
         if (result.found) {
           downlink_.charge(result.bytes.size());
-          take_in(digest, std::nullopt, chunk, result.bytes);
+          receive_chunk(digest, std::nullopt, chunk, result.bytes);
           return;
         }
         metrics_.count("pumicemast_agent_origin_failures_total");
         SwarmActions actions;
         waiting->swarm->on_origin_failed(chunk, result.retry_after, loop_now(), actions);
-        carry_out(digest, actions);
+        execute_actions(digest, actions);
       });
 }
 
-void WeightTransfer::act(Transfer& transfer, const CancelFromOrigin& action) {
+void WeightTransfer::execute(Transfer& transfer, const CancelFromOrigin& action) {
   transfer.origin_calls.erase(action.chunk);
 }
 
-void WeightTransfer::act(Transfer& transfer, const SendChunk& action) {
+void WeightTransfer::execute(Transfer& transfer, const SendChunk& action) {
   const std::string digest = transfer.digest;
   staged_.read(digest, action.chunk,
                [this, digest, peer = action.peer, chunk = action.chunk,
@@ -402,7 +403,7 @@
                });
 }
 
-void WeightTransfer::act(Transfer& transfer, const JoinPeer& action) {
+void WeightTransfer::execute(Transfer& transfer, const JoinPeer& action) {
   send_join(transfer, action.peer, false);
 }
 
@@ -410,11 +411,11 @@
   messages_.send_join(transfer.digest, peer, transfer.swarm->have(), reply);
 }
 
-void WeightTransfer::act(Transfer& transfer, const SwarmComplete&) {
+void WeightTransfer::execute(Transfer& transfer, const SwarmComplete&) {
   callbacks_.on_verified(transfer.digest);
 }
 
-void WeightTransfer::act(Transfer& transfer, const PeerAvoided& action) {
+void WeightTransfer::execute(Transfer& transfer, const PeerAvoided& action) {
   metrics_.count("pumicemast_agent_peers_avoided_total");
   LOG(WARNING) << "peer id=" << action.peer << " digest=" << transfer.digest.substr(0, 12)
                << " state=TRUSTED->AVOIDED reason=corrupt chunks";
@@ -425,7 +426,7 @@
   if (transfer == nullptr || !transfer->swarm) return;
   SwarmActions actions;
   transfer->swarm->on_sent(loop_now(), actions);
-  carry_out(digest, actions);
+  execute_actions(digest, actions);
 }
 
 TransferProgress WeightTransfer::progress(const std::string& digest) const {
--- a/src/agent/weight_transfer.h
+++ b/src/agent/weight_transfer.h
@@ -13,9 +13,9 @@
 #include "adapters/engine_client.h"
 #include "adapters/weight_store_client.h"
 #include "agent/agent_settings.h"
-#include "agent/link_shares.h"
 #include "agent/local_copies.h"
 #include "agent/manifest_fetcher.h"
+#include "agent/request_window.h"
 #include "agent/staged_chunks.h"
 #include "common/metrics.h"
 #include "swarm/swarm.h"
@@ -65,7 +65,7 @@
   void stop(const std::string& digest);
   void set_participants(const std::string& digest, const std::set<TransferPeer>& peers);
   void set_paused(const std::string& digest, bool paused);
-  void set_objective(const std::string& digest, bool spare_origin);
+  void set_objective(const std::string& digest, bool minimize_origin_bytes);
   /// When several versions are on their way, the highest priority gets nearly all the links.
   void set_priority(const std::string& digest, int priority);
   /// What the engine held when the agent started or the engine restarted.
@@ -82,7 +82,7 @@
     std::unique_ptr<Swarm> swarm;
     bool opened = false;  ///< The engine has staging memory for it.
     bool paused = false;
-    bool spare_origin = false;
+    bool minimize_origin_bytes = false;
     int priority = 0;
     std::set<TransferPeer> peers;
     std::map<ChunkIndex, HttpCallPointer> origin_calls;
@@ -92,7 +92,7 @@
   Transfer* find(const std::string& digest);
   void restart(const std::string& digest);
   void on_manifest(const ManifestFetcher::ManifestPointer& manifest, std::size_t bytes);
-  void begin_swarm(Transfer& transfer);
+  void start_swarm(Transfer& transfer);
   void apply_membership(Transfer& transfer);
   void copy_shared_chunks(Transfer& transfer);
   void copy_chunk(const std::string& digest, const LocalCopy& copy);
@@ -104,33 +104,33 @@
   void on_chunk_data(PeerId peer, const wire::ChunkData& data);
   void on_peer_lost(PeerId peer);
 
-  void carry_out(const std::string& digest, const SwarmActions& actions);
-  void act(Transfer& transfer, const RequestFromPeer& action) {
+  void execute_actions(const std::string& digest, const SwarmActions& actions);
+  void execute(Transfer& transfer, const RequestFromPeer& action) {
     messages_.send(transfer.digest, action);
   }
-  void act(Transfer& transfer, const CancelFromPeer& action) {
+  void execute(Transfer& transfer, const CancelFromPeer& action) {
     messages_.send(transfer.digest, action);
   }
-  void act(Transfer& transfer, const RefuseChunk& action) {
+  void execute(Transfer& transfer, const RefuseChunk& action) {
     messages_.send(transfer.digest, action);
   }
-  void act(Transfer& transfer, const AnnounceChunks& action) {
+  void execute(Transfer& transfer, const AnnounceChunks& action) {
     messages_.send(transfer.digest, action);
   }
-  void act(Transfer& transfer, const RequestFromOrigin& action);
-  void act(Transfer& transfer, const CancelFromOrigin& action);
-  void act(Transfer& transfer, const SendChunk& action);
-  void act(Transfer& transfer, const JoinPeer& action);
-  void act(Transfer& transfer, const SwarmComplete& action);
-  void act(Transfer& transfer, const PeerAvoided& action);
+  void execute(Transfer& transfer, const RequestFromOrigin& action);
+  void execute(Transfer& transfer, const CancelFromOrigin& action);
+  void execute(Transfer& transfer, const SendChunk& action);
+  void execute(Transfer& transfer, const JoinPeer& action);
+  void execute(Transfer& transfer, const SwarmComplete& action);
+  void execute(Transfer& transfer, const PeerAvoided& action);
 
   /// Verifies `bytes`, writes them to the engine, then tells the core.
-  void take_in(const std::string& digest, std::optional<PeerId> source, ChunkIndex chunk,
-               std::string bytes);
+  void receive_chunk(const std::string& digest, std::optional<PeerId> source, ChunkIndex chunk,
+                     std::string bytes);
   /// The engine took, or did not take, a chunk that was verified.
   void on_written(const std::string& digest, std::optional<PeerId> source, ChunkIndex chunk,
                   bool written);
-  void share_links();
+  void allocate_request_windows();
   void finish_upload(const std::string& digest);
 
   const AgentSettings& settings_;
--- a/tests/agent/local_copies_test.cpp
+++ b/tests/agent/local_copies_test.cpp
@@ -6,9 +6,9 @@
 
 class LocalCopiesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LocalCopiesTest);
-  CPPUNIT_TEST(equal_chunks_are_copied_wherever_they_lie);
-  CPPUNIT_TEST(what_is_not_held_is_no_source);
-  CPPUNIT_TEST(what_is_there_already_is_not_copied);
+  CPPUNIT_TEST(chunks_with_equal_hashes_are_copied_from_any_index);
+  CPPUNIT_TEST(chunks_not_held_are_not_copied);
+  CPPUNIT_TEST(chunks_already_present_are_not_copied);
   CPPUNIT_TEST_SUITE_END();
 
   static std::vector<Sha256> hashes(const std::vector<std::string>& contents) {
@@ -27,7 +27,7 @@
   std::vector<Sha256> old = hashes({"c", "x", "a"});
 
  public:
-  void equal_chunks_are_copied_wherever_they_lie() {
+  void chunks_with_equal_hashes_are_copied_from_any_index() {
     const ChunkSet held = set_of(3, {0, 1, 2});
     const auto copies = plan_local_copies(wanted, ChunkSet(3), {{"old", old, held}});
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, copies.size());
@@ -38,14 +38,14 @@
     CPPUNIT_ASSERT_EQUAL(std::string("old"), copies[1].source_digest);
   }
 
-  void what_is_not_held_is_no_source() {
+  void chunks_not_held_are_not_copied() {
     const ChunkSet held = set_of(3, {1, 2});
     const auto copies = plan_local_copies(wanted, ChunkSet(3), {{"old", old, held}});
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, copies.size());
     CPPUNIT_ASSERT_EQUAL(ChunkIndex{0}, copies[0].chunk);
   }
 
-  void what_is_there_already_is_not_copied() {
+  void chunks_already_present_are_not_copied() {
     const ChunkSet held = set_of(3, {0, 1, 2});
     CPPUNIT_ASSERT(plan_local_copies(wanted, set_of(3, {0, 2}), {{"old", old, held}}).empty());
   }
