--- a/src/agent/agent_daemon.cpp
+++ b/src/agent/agent_daemon.cpp
@@ -7,9 +7,10 @@
 namespace pumicemast {
 namespace {
 
-/// Changes within this time share one status report.
+/// Status changes within this time are sent in one report.
 constexpr Duration kReportDelay = milliseconds(20);
-/// Entries must learn of the drain before the connections close.
+/// Delay before the process quits, so that entries receive the final status before the
+/// connections close.
 constexpr Duration kQuitDelay = milliseconds(200);
 
 std::string text_of(const flatbuffers::String* text) { return text == nullptr ? "" : text->str(); }
@@ -61,7 +62,7 @@
       http_, HttpServer::listen(settings_.http_listen,
                                 [this](HttpExchangePointer exchange) { handle_http(exchange); }));
   if (settings_.is_engine) {
-    supervisor_->start();  // Connects to the entries once the engine has answered.
+    supervisor_->start();  // The entries are connected when the engine is ready.
   } else {
     entries_->start();
   }
@@ -251,7 +252,8 @@
 
 void AgentDaemon::check_idle(const std::string& model) {
   if (gate_.in_flight(model) > 0) return;
-  // From the loop: the replica core must not be entered while its actions are carried out.
+  // Deferred to the event loop, because the replica core must not be called while its actions
+  // are being executed.
   struct Idle {
     AgentDaemon* daemon;
     std::string model;
--- a/src/agent/agent_daemon.h
+++ b/src/agent/agent_daemon.h
@@ -1,4 +1,5 @@
-/// The agent: wires the cores of one back-end machine to their shells.
+/// The agent daemon: connects the decision cores of a back-end machine to the network and the
+/// engine.
 #pragma once
 
 #include <map>
@@ -25,9 +26,9 @@
  public:
   AgentDaemon(AgentSettings settings, Charts charts, EventLoop& loop);
 
-  /// Binds its addresses and begins. Fails when an address is taken.
+  /// Binds the listening addresses and starts. Fails when an address is already in use.
   leaf::result<void> start();
-  /// Refuses new work, lets what runs finish, then quits the loop.
+  /// Refuses new requests, lets running requests finish, then quits the event loop.
   void terminate();
 
  private:
@@ -66,8 +67,8 @@
   std::unique_ptr<HttpServer> http_;
   AssignmentGuard guard_;
   std::uint64_t incarnation_ = 0;
-  /// Participants by digest as each entry told them; the union is used, since an entry that
-  /// is cut off from some machines must not take them out of the distribution.
+  /// Participants by digest, as listed by each entry. The union is used, because an entry that
+  /// has lost contact with some machines must not remove them from the distribution.
   std::map<EntryNumber, std::map<std::string, std::set<TransferPeer>>> participants_;
   std::map<std::string, std::string> digest_models_;
   std::map<std::string, TimePoint> fetch_started_;
--- a/src/agent/engine_supervisor.cpp
+++ b/src/agent/engine_supervisor.cpp
@@ -6,7 +6,8 @@
 namespace {
 
 constexpr Duration kPollInterval = milliseconds(500);
-/// Polls without an answer before the engine counts as lost; it may be busy for a moment.
+/// Consecutive unanswered polls after which the engine counts as lost. One poll is not enough,
+/// because a busy engine may miss it.
 constexpr std::uint32_t kUnansweredPollsUntilLost = 3;
 
 }  // namespace
--- a/src/agent/engine_supervisor.h
+++ b/src/agent/engine_supervisor.h
@@ -1,4 +1,4 @@
-/// Watches the engine and carries out the replica core's fenced orders.
+/// Polls the engine's state and sends it the replica core's fenced orders.
 #pragma once
 
 #include <functional>
@@ -14,9 +14,9 @@
 class EngineSupervisor {
  public:
   struct Callbacks {
-    /// The engine answers for the first time, or again with an empty memory.
+    /// The engine responds for the first time, again after it was lost, or after a restart.
     std::function<void(const EngineState&)> on_engine_ready;
-    /// The engine restarted or does not answer.
+    /// The engine restarted or stopped responding.
     std::function<void()> on_engine_lost;
     std::function<void(const std::string& model, const std::string& digest, bool activated,
                        const std::string& reason)>
--- a/src/agent/entry_links.h
+++ b/src/agent/entry_links.h
@@ -1,4 +1,4 @@
-/// The agent's connections to the entries of its settings, kept up with back-off.
+/// Connects the agent to the entries in its settings and reconnects with exponential backoff.
 #pragma once
 
 #include <functional>
@@ -18,7 +18,7 @@
  public:
   struct Callbacks {
     std::function<wire::AgentHelloT()> hello;
-    /// A connection was made: send the status.
+    /// A connection was established and expects a status report.
     std::function<void(EntryNumber)> on_connected;
     std::function<void(EntryNumber, const wire::Frame&)> on_frame;
     std::function<void(EntryNumber)> on_lost;
@@ -26,7 +26,7 @@
 
   EntryLinks(std::vector<Address> addresses, std::uint64_t seed, Callbacks callbacks);
   void start();
-  /// Null while there is no connection under this number.
+  /// @return null while no connection has this number.
   WireConnection* connection(EntryNumber entry);
   void broadcast(const wire::AgentStatusT& status);
   std::size_t connected() const;
@@ -34,7 +34,7 @@
  private:
   struct Link {
     Address address;
-    EntryNumber number = 0;  ///< New for each connection: answers never go to a later one.
+    EntryNumber number = 0;  ///< Unique for each connection, so responses never go to a later one.
     std::unique_ptr<WireConnection> connection;
     Timer retry;
     std::uint32_t failures = 0;
--- a/src/agent/local_copies.h
+++ b/src/agent/local_copies.h
@@ -1,6 +1,6 @@
-/// Which chunks of a version the engine holds already, as parts of other versions.
+/// Finds chunks of a version that the engine already holds as chunks of other versions.
 ///
-/// A decision core: no I/O. Equal hashes mean equal bytes.
+/// A decision core: no I/O. Chunks with equal hashes have equal bytes.
 #pragma once
 
 #include <map>
@@ -12,22 +12,22 @@
 
 namespace pumicemast {
 
-/// Another version at the engine, and which of its chunks are there.
+/// Another version in the engine's memory and the chunks of it that are present.
 struct HeldVersion {
   std::string digest;
   const std::vector<Sha256>& hashes;
   const ChunkSet& held;
 };
 
-/// One chunk to be copied within the engine.
+/// A chunk to copy within the engine.
 struct LocalCopy {
-  ChunkIndex chunk = 0;  ///< Of the wanted version.
+  ChunkIndex chunk = 0;  ///< Index in the wanted version.
   std::string source_digest;
   ChunkIndex source_chunk = 0;
 };
 
 /// @param wanted  hashes of the version's chunks, in order.
-/// @param have    chunks of it that are there already.
+/// @param have    chunks of that version that are already present.
 std::vector<LocalCopy> plan_local_copies(const std::vector<Sha256>& wanted, const ChunkSet& have,
                                          const std::vector<HeldVersion>& others);
 
--- a/src/agent/main.cpp
+++ b/src/agent/main.cpp
@@ -1,4 +1,4 @@
-/// pumicemast-agent: the one process of the system on a back-end machine.
+/// pumicemast-agent: the only process of pumicemast that runs on a back-end machine.
 #include "agent/agent_daemon.h"
 #include "common/daemon_main.h"
 
--- a/src/agent/manifest_fetcher.h
+++ b/src/agent/manifest_fetcher.h
@@ -1,4 +1,4 @@
-/// Fetches manifests from the origin and keeps those that were read.
+/// Fetches manifests from the origin and keeps the fetched ones in memory.
 #pragma once
 
 #include <functional>
@@ -17,14 +17,15 @@
  public:
   using ManifestPointer = std::shared_ptr<const Manifest>;
 
-  /// @param on_manifest  a manifest asked for is there; `bytes` were drawn from the origin.
+  /// @param on_manifest  called for each requested manifest; `bytes` were read from the origin
+  ///                     for it, 0 if it was already in memory.
   ManifestFetcher(WeightStoreClient& origin, Metrics& metrics,
                   std::function<void(ManifestPointer, std::size_t bytes)> on_manifest);
 
-  /// Fetches until it succeeds or is cancelled. A known manifest is reported at once.
+  /// Retries until the fetch succeeds or is cancelled. Reports a manifest in memory at once.
   void fetch(const std::string& digest);
   void cancel(const std::string& digest) { pending_.erase(digest); }
-  /// Null unless it was fetched before.
+  /// @return null unless the manifest was fetched before.
   ManifestPointer find(const std::string& digest) const;
 
  private:
--- a/src/agent/request_runner.cpp
+++ b/src/agent/request_runner.cpp
@@ -96,12 +96,12 @@
   const bool queue_refused =
       is_engine_ && (head.status == kTooManyRequests || head.status == kServiceUnavailable);
   if (head.never_sent || queue_refused) {
-    // By the engines' protocol 429 and 503 mean that the request was not taken.
+    // In the engine protocol, 429 and 503 mean that the request was not accepted.
     refuse(key, queue_refused ? wire::RefusalReason::overloaded : wire::RefusalReason::not_live);
     remove(key);
     return;
   }
-  if (head.status == 0) return;  // on_end(false) follows.
+  if (head.status == 0) return;  // The end callback follows with complete == false.
   wire::AnswerHeadT message;
   message.id = key.second;
   message.status = static_cast<std::uint16_t>(head.status);
--- a/src/agent/request_runner.h
+++ b/src/agent/request_runner.h
@@ -1,4 +1,4 @@
-/// Runs callers' requests at the local engine or plain service.
+/// Runs requests from callers on the local engine or service.
 #pragma once
 
 #include <cstdint>
@@ -14,15 +14,15 @@
 
 namespace pumicemast {
 
-/// Identifies the entry connection that a request came by.
+/// Identifies the connection to an entry on which a request arrived.
 using EntryNumber = std::uint64_t;
 
 class RequestRunner {
  public:
   struct Callbacks {
-    /// Sends to an entry; a connection that is gone swallows it.
+    /// Finds the connection to an entry; null once it is closed, and messages are then dropped.
     std::function<WireConnection*(EntryNumber)> connection;
-    /// A request ended; `model` may be idle now.
+    /// Called when a request has ended; `model` may be idle now.
     std::function<void(const std::string& model)> on_finished;
   };
 
@@ -31,8 +31,8 @@
 
   void on_submit(EntryNumber entry, const wire::SubmitRequest& submit);
   void on_cancel(EntryNumber entry, std::uint64_t id);
-  /// The entry is gone: nobody waits for the answers. Requests that may not be repeated run
-  /// to their end, the others are cancelled.
+  /// Handles the loss of an entry's connection, after which responses cannot be delivered.
+  /// Non-repeatable requests run to completion; the others are cancelled.
   void on_entry_lost(EntryNumber entry);
 
  private:
--- a/src/agent/request_window.cpp
+++ b/src/agent/request_window.cpp
@@ -6,7 +6,7 @@
 namespace pumicemast {
 namespace {
 
-/// Open requests that a version of lower priority keeps.
+/// Open requests of a transfer whose priority is not the highest.
 constexpr std::uint32_t kBackgroundWindow = 1;
 
 }  // namespace
--- a/src/agent/request_window.h
+++ b/src/agent/request_window.h
@@ -1,7 +1,7 @@
-/// How versions that are on their way at once share an agent's links.
+/// Splits an agent's open chunk requests among concurrent transfers.
 ///
-/// A decision core: no I/O. The highest priority gets nearly all; the others go on slowly, so that
-/// none starves.
+/// A decision core: no I/O. Transfers of the highest priority get the full window; each of the
+/// others keeps one request, so that none starves.
 #pragma once
 
 #include <cstdint>
@@ -14,8 +14,8 @@
   bool active = false;  ///< Neither complete nor paused.
 };
 
-/// @param window  requests that all versions together may have open.
-/// @return for each of `demands` the requests that it may have open.
+/// @param window  open requests that the active transfers of the highest priority divide.
+/// @return the number of open requests allowed for each of `demands`.
 std::vector<std::uint32_t> allocate_request_window(const std::vector<TransferDemand>& demands,
                                                    std::uint32_t window);
 
--- a/src/agent/staged_chunks.h
+++ b/src/agent/staged_chunks.h
@@ -1,4 +1,4 @@
-/// Chunks in the engine's staging memory, the last of them also in the agent's own.
+/// Chunks in the engine's staging memory, with a cache of recent ones in the agent's memory.
 #pragma once
 
 #include <functional>
@@ -14,14 +14,15 @@
  public:
   using Content = std::shared_ptr<const std::string>;
 
-  /// @param cache_bytes  kept in memory, so that what was just written need not be read back.
+  /// @param cache_bytes  size of the cache, which saves reading back chunks just written.
   StagedChunks(EngineClient& engine, std::uint64_t cache_bytes)
       : engine_(engine), cache_(cache_bytes) {}
 
-  /// Writes a verified chunk. @param callback  gets whether the engine took it.
+  /// Writes a verified chunk. @param callback  receives whether the engine stored it.
   void write(const std::string& digest, ChunkIndex chunk, Content content,
              std::function<void(bool written)> callback);
-  /// @param callback  gets null when the engine does not have the chunk; may be called at once.
+  /// @param callback  receives null when the engine does not have the chunk; may be called
+  ///                  before this function returns.
   void read(const std::string& digest, ChunkIndex chunk, std::function<void(Content)> callback);
 
  private:
--- a/src/agent/weight_transfer.cpp
+++ b/src/agent/weight_transfer.cpp
@@ -9,7 +9,7 @@
 constexpr Duration kTickInterval = milliseconds(20);
 constexpr Duration kAnnounceInterval = milliseconds(20);
 constexpr Duration kRestartDelay = seconds(1);
-/// Before a chunk that the engine did not take is drawn from the origin again.
+/// Delay before a chunk that the engine failed to store is fetched from the origin again.
 constexpr Duration kChunkWriteRetryDelay = seconds(1);
 
 PeerId peer_id(const std::string& machine) { return stable_hash(machine); }
@@ -48,7 +48,7 @@
 
 void WeightTransfer::set_engine_contents(const std::map<std::string, ChunkSet>& held) {
   engine_contents_ = held;
-  // What is under way starts again from what the engine really holds.
+  // Transfers in progress restart from the chunks that the engine holds.
   for (auto& [digest, transfer] : transfers_) {
     transfer.swarm.reset();
     transfer.opened = false;
@@ -65,12 +65,12 @@
     return;
   }
   if (!transfer.manifest) return;
-  // Started again after a failed activation, which must not become a busy loop.
+  // start() is repeated after a failed activation; the delay prevents a busy loop.
   restart_timers_[digest].start_once(kRestartDelay, [this, digest] { restart(digest); });
 }
 
 void WeightTransfer::restart(const std::string& digest) {
-  // What the engine really holds counts, not what was sent to it.
+  // The engine's own list is used, because chunks sent to it may not have been stored.
   engine_.read_state([this, digest](const EngineState& state) {
     Transfer* current = find(digest);
     if (current == nullptr || !state.answered) return;
@@ -360,7 +360,7 @@
 
 void WeightTransfer::execute_actions(const std::string& digest, const SwarmActions& actions) {
   for (const SwarmAction& action : actions) {
-    Transfer* transfer = find(digest);  // An action may end the transfer.
+    Transfer* transfer = find(digest);  // An action may have ended the transfer.
     if (transfer == nullptr) return;
     std::visit([&](const auto& typed) { execute(*transfer, typed); }, action);
   }
--- a/src/agent/weight_transfer.h
+++ b/src/agent/weight_transfer.h
@@ -1,4 +1,4 @@
-/// Moves weights: drives one Swarm core a version with real sockets, the origin and the
+/// Transfers weights: runs one Swarm core per version with peer connections, the origin and the
 /// engine's staging memory.
 #pragma once
 
@@ -26,7 +26,7 @@
 
 namespace pumicemast {
 
-/// A machine that takes part in distributing a version.
+/// A machine that participates in distributing a version.
 struct TransferPeer {
   std::string machine;
   std::string region;
@@ -49,9 +49,9 @@
 class WeightTransfer {
  public:
   struct Callbacks {
-    /// Every byte of `digest` is verified in the engine's staging memory.
+    /// All chunks of `digest` are verified and in the engine's staging memory.
     std::function<void(const std::string& digest)> on_verified;
-    /// Something changed that the next status report should tell.
+    /// The progress changed, so a status report is due.
     std::function<void()> on_progress;
   };
 
@@ -59,34 +59,34 @@
                  Callbacks callbacks);
   leaf::result<void> listen();
 
-  /// Begins or goes on with bringing `digest` into the engine.
+  /// Starts the transfer of `digest` into the engine, or restarts it after a delay.
   void start(const std::string& digest);
-  /// Stops asking for `digest` and passing it on.
+  /// Stops requesting and uploading chunks of `digest`.
   void stop(const std::string& digest);
   void set_participants(const std::string& digest, const std::set<TransferPeer>& peers);
   void set_paused(const std::string& digest, bool paused);
   void set_objective(const std::string& digest, bool minimize_origin_bytes);
-  /// When several versions are on their way, the highest priority gets nearly all the links.
+  /// Among concurrent transfers, the highest priority gets nearly all chunk requests.
   void set_priority(const std::string& digest, int priority);
-  /// What the engine held when the agent started or the engine restarted.
+  /// Sets the chunks that the engine held when it became ready, and restarts all transfers.
   void set_engine_contents(const std::map<std::string, ChunkSet>& held);
 
   TransferProgress progress(const std::string& digest) const;
   const TransferTotals& totals() const { return totals_; }
 
  private:
-  /// One version on its way or held.
+  /// A version being transferred or held.
   struct Transfer {
     std::string digest;
     ManifestFetcher::ManifestPointer manifest;
     std::unique_ptr<Swarm> swarm;
-    bool opened = false;  ///< The engine has staging memory for it.
+    bool opened = false;  ///< The engine has allocated staging memory.
     bool paused = false;
     bool minimize_origin_bytes = false;
     int priority = 0;
     std::set<TransferPeer> peers;
     std::map<ChunkIndex, HttpCallPointer> origin_calls;
-    /// Joins that came before the manifest did.
+    /// Bitmaps of peers that joined before the swarm was started.
     std::map<PeerId, std::vector<std::uint8_t>> early_joins;
   };
   Transfer* find(const std::string& digest);
@@ -124,10 +124,10 @@
   void execute(Transfer& transfer, const SwarmComplete& action);
   void execute(Transfer& transfer, const PeerAvoided& action);
 
-  /// Verifies `bytes`, writes them to the engine, then tells the core.
+  /// Verifies `bytes`, writes them to the engine, then notifies the swarm core.
   void receive_chunk(const std::string& digest, std::optional<PeerId> source, ChunkIndex chunk,
                      std::string bytes);
-  /// The engine took, or did not take, a chunk that was verified.
+  /// Handles the engine's result of writing a verified chunk.
   void on_written(const std::string& digest, std::optional<PeerId> source, ChunkIndex chunk,
                   bool written);
   void allocate_request_windows();
--- a/tests/agent/request_window_test.cpp
+++ b/tests/agent/request_window_test.cpp
@@ -27,7 +27,7 @@
     CPPUNIT_ASSERT(allocate_request_window({{1, true}, {2, true}}, 8) == Shares({1, 8}));
   }
   void an_inactive_transfer_does_not_reduce_the_window() {
-    // A complete version still answers; its window does not matter.
+    // A complete version only serves peers, so its own window has no effect.
     CPPUNIT_ASSERT(allocate_request_window({{1, true}, {2, false}}, 8) == Shares({8, 8}));
   }
   void each_transfer_gets_at_least_one_request() {
