--- a/src/commands/command.h
+++ b/src/commands/command.h
@@ -63,9 +63,9 @@
   std::optional<std::uint32_t> max_unavailable;
   int priority = 0;
 };
-enum class RolloutOrder { pause, resume, abort, rollback };
-struct OrderRolloutCommand {
-  RolloutOrder order = RolloutOrder::pause;
+enum class RolloutOperation { pause, resume, abort, rollback };
+struct ControlRolloutCommand {
+  RolloutOperation operation = RolloutOperation::pause;
   std::string model;
 };
 struct SetTargetCommand {
@@ -91,7 +91,7 @@
 
 using CommandBody =
     std::variant<ShowCommand, ExplainCommand, CreateVersionCommand, CreateRolloutCommand,
-                 OrderRolloutCommand, SetTargetCommand, SetRouteCommand, SetTenantCommand,
+                 ControlRolloutCommand, SetTargetCommand, SetRouteCommand, SetTenantCommand,
                  DeleteCommand, PlanStopCommand, CancelStopCommand>;
 
 struct Command {
--- a/src/commands/command_executor.cpp
+++ b/src/commands/command_executor.cpp
@@ -113,13 +113,16 @@
       std::max(1U, target->value.replicas / kDefaultUnavailableDivisor));
   rollout.priority = body.priority;
   rollout.created_by = user;
-  if (const auto* running = view.configuration.find<Rollout>(body.model)) {
-    const bool backwards = running->value.state == "ABORTING" || running->value.state == "ABORTED";
-    rollout.previous_version = backwards ? running->value.previous_version : running->value.version;
+  if (const auto* current_rollout = view.configuration.find<Rollout>(body.model)) {
+    const bool reverting =
+        current_rollout->value.state == "ABORTING" || current_rollout->value.state == "ABORTED";
+    rollout.previous_version =
+        reverting ? current_rollout->value.previous_version : current_rollout->value.version;
     // A superseded rollout is not the one to go back to, unless it is the first of its model.
-    const bool unfinished = running->value.state == "RUNNING" || running->value.state == "PAUSED";
-    if (unfinished && !running->value.previous_version.empty())
-      rollout.previous_version = running->value.previous_version;
+    const bool unfinished =
+        current_rollout->value.state == "RUNNING" || current_rollout->value.state == "PAUSED";
+    if (unfinished && !current_rollout->value.previous_version.empty())
+      rollout.previous_version = current_rollout->value.previous_version;
   }
   return Change{Rollout::kKind,
                 body.model,
@@ -129,7 +132,7 @@
                 "rollout of " + version_name + " created"};
 }
 
-leaf::result<CommandExecutor::Change> CommandExecutor::plan_body(const OrderRolloutCommand& body,
+leaf::result<CommandExecutor::Change> CommandExecutor::plan_body(const ControlRolloutCommand& body,
                                                                  const std::string& user,
                                                                  const QueryView& view) const {
   const auto* found = view.configuration.find<Rollout>(body.model);
@@ -138,24 +141,24 @@
   const std::string state = rollout.state;
   std::string done;
   bool allowed = false;
-  switch (body.order) {
-    case RolloutOrder::pause:
+  switch (body.operation) {
+    case RolloutOperation::pause:
       allowed = state == "RUNNING";
       rollout.state = "PAUSED";
       done = "paused";
       break;
-    case RolloutOrder::resume:
+    case RolloutOperation::resume:
       allowed = state == "PAUSED";
       rollout.state = "RUNNING";
       done = "resumed";
       break;
-    case RolloutOrder::abort:
+    case RolloutOperation::abort:
       allowed = state == "RUNNING" || state == "PAUSED";
       rollout.state = "ABORTING";
       done = "aborted; machines go back to " +
              (rollout.previous_version.empty() ? "serving nothing" : rollout.previous_version);
       break;
-    case RolloutOrder::rollback:
+    case RolloutOperation::rollback:
       allowed = !rollout.previous_version.empty() && state == "COMPLETED";
       std::swap(rollout.version, rollout.previous_version);
       rollout.state = "RUNNING";
@@ -280,14 +283,14 @@
     switch (written.outcome) {
       case WriteOutcome::applied:
         result.ok = true;
-        result.text = change.done_text;
+        result.text = change.success_text;
         result.version = written.version;
         on_done(result);
         return;
       case WriteOutcome::conflict:
         // After an unanswered try the "other" change may be our own.
         if (attempt > 1) {
-          settle_unknown(change, kWriteAttempts, on_done);
+          resolve_unknown_outcome(change, kWriteAttempts, on_done);
         } else {
           report_conflict(change, on_done);
         }
@@ -297,7 +300,7 @@
                         "nothing was changed: " + written.reason}));
         return;
       case WriteOutcome::unknown:
-        settle_unknown(change, attempt, on_done);
+        resolve_unknown_outcome(change, attempt, on_done);
         return;
     }
   };
@@ -308,20 +311,21 @@
   }
 }
 
-void CommandExecutor::settle_unknown(const Change& change, int attempt, OnDone on_done) {
+void CommandExecutor::resolve_unknown_outcome(const Change& change, int attempt, OnDone on_done) {
   store_.read(change.kind, change.name, [=, this](const ObjectReadResult& read) {
     if (!read.answered) {
       on_done(failed({ErrorCode::unknown_outcome, change.kind + "/" + change.name,
                       "the answer was lost and the object cannot be read; it may have changed"}));
       return;
     }
-    const bool ours = change.deletion ? !read.exists
-                                      : read.exists && read.object.version != change.expected &&
-                                            read.object.value == change.value;
-    if (ours) {
+    const bool is_own_write = change.deletion
+                                  ? !read.exists
+                                  : read.exists && read.object.version != change.expected &&
+                                        read.object.value == change.value;
+    if (is_own_write) {
       CommandResult result;
       result.ok = true;
-      result.text = change.done_text;
+      result.text = change.success_text;
       result.version = read.object.version;
       on_done(result);
       return;
@@ -342,14 +346,15 @@
 
 void CommandExecutor::report_conflict(const Change& change, OnDone on_done) {
   store_.read(change.kind, change.name, [=](const ObjectReadResult& read) {
-    std::string now = "it cannot be read now";
-    if (read.answered && !read.exists) now = "it does not exist now";
+    std::string current_state = "it cannot be read now";
+    if (read.answered && !read.exists) current_state = "it does not exist now";
     if (read.exists) {
-      now = "version " + std::to_string(read.object.version) + " was written" +
-            author_of(read.object.value) + ": " + read.object.value.dump();
+      current_state = "version " + std::to_string(read.object.version) + " was written" +
+                      author_of(read.object.value) + ": " + read.object.value.dump();
     }
-    on_done(failed({ErrorCode::conflict, change.kind + "/" + change.name,
-                    "expected version " + std::to_string(change.expected) + ", but " + now}));
+    on_done(
+        failed({ErrorCode::conflict, change.kind + "/" + change.name,
+                "expected version " + std::to_string(change.expected) + ", but " + current_state}));
   });
 }
 
--- a/src/commands/command_executor.h
+++ b/src/commands/command_executor.h
@@ -39,7 +39,7 @@
     nlohmann::json value;
     bool deletion = false;
     ObjectVersion expected = 0;
-    std::string done_text;
+    std::string success_text;
   };
 
   leaf::result<Change> plan(const Command& command, const std::string& user,
@@ -48,7 +48,7 @@
                                  const QueryView& view) const;
   leaf::result<Change> plan_body(const CreateRolloutCommand& body, const std::string& user,
                                  const QueryView& view) const;
-  leaf::result<Change> plan_body(const OrderRolloutCommand& body, const std::string& user,
+  leaf::result<Change> plan_body(const ControlRolloutCommand& body, const std::string& user,
                                  const QueryView& view) const;
   leaf::result<Change> plan_body(const SetTargetCommand& body, const std::string& user,
                                  const QueryView& view) const;
@@ -68,7 +68,7 @@
                                  const QueryView& view) const;
 
   void write(const Change& change, int attempt, OnDone on_done);
-  void settle_unknown(const Change& change, int attempt, OnDone on_done);
+  void resolve_unknown_outcome(const Change& change, int attempt, OnDone on_done);
   void report_conflict(const Change& change, OnDone on_done);
 
   ObjectStore& store_;
--- a/src/commands/command_parser.cpp
+++ b/src/commands/command_parser.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::size_t kMaximumNameLength = 200;
 
-Error expected_instead(const std::string& word, const std::string& expected) {
+Error expected_error(const std::string& word, const std::string& expected) {
   const std::string place = word.empty() ? "end of command" : "\"" + word + "\"";
   return Error{ErrorCode::invalid_argument, place, "expected " + expected};
 }
@@ -29,7 +29,7 @@
   const char* end = text.data() + text.size();
   const auto [stop, failure] = std::from_chars(text.data(), end, number);
   if (failure != std::errc() || stop != end) {
-    return leaf::new_error(expected_instead(key + "=" + text, "a number for " + key));
+    return leaf::new_error(expected_error(key + "=" + text, "a number for " + key));
   }
   return number;
 }
@@ -45,13 +45,13 @@
 
   leaf::result<std::string> take_name(const std::string& what) {
     const std::string word = take();
-    if (!is_name(word)) return leaf::new_error(expected_instead(word, what));
+    if (!is_name(word)) return leaf::new_error(expected_error(word, what));
     return word;
   }
 
   leaf::result<void> expect_end() {
     if (at_end()) return {};
-    return leaf::new_error(expected_instead(peek(), "nothing more"));
+    return leaf::new_error(expected_error(peek(), "nothing more"));
   }
 
   /// Reads the remaining words as KEY=VALUE with keys from `allowed`.
@@ -66,10 +66,10 @@
       if (equals == std::string::npos || !known) {
         std::string names;
         for (const std::string& name : allowed) names += (names.empty() ? "" : ", ") + name + "=";
-        return leaf::new_error(expected_instead(word, "one of " + names));
+        return leaf::new_error(expected_error(word, "one of " + names));
       }
       if (!options.emplace(key, word.substr(equals + 1)).second) {
-        return leaf::new_error(expected_instead(word, key + "= only once"));
+        return leaf::new_error(expected_error(word, key + "= only once"));
       }
     }
     return options;
@@ -92,7 +92,7 @@
                                    std::optional<Number> fallback) {
   const auto found = options.find(key);
   if (found != options.end()) return parse_number<Number>(key, found->second);
-  if (!fallback) return leaf::new_error(expected_instead("", key + "=N"));
+  if (!fallback) return leaf::new_error(expected_error("", key + "=N"));
   return *fallback;
 }
 
@@ -114,7 +114,7 @@
   const std::string subject = words.take();
   const auto found = kSubjects.find(subject);
   if (found == kSubjects.end()) {
-    return leaf::new_error(expected_instead(
+    return leaf::new_error(expected_error(
         subject,
         "versions, rollouts, targets, routes, tenants, stops, machines, replicas or status"));
   }
@@ -122,17 +122,17 @@
   show.subject = found->second;
   if (!words.at_end()) {
     const std::string keyword = words.take();
-    if (keyword != "where") return leaf::new_error(expected_instead(keyword, "where"));
+    if (keyword != "where") return leaf::new_error(expected_error(keyword, "where"));
     while (true) {
       const std::string word = words.take();
       const auto equals = word.find('=');
       if (equals == std::string::npos || equals == 0) {
-        return leaf::new_error(expected_instead(word, "FIELD=VALUE"));
+        return leaf::new_error(expected_error(word, "FIELD=VALUE"));
       }
       show.conditions.push_back({word.substr(0, equals), word.substr(equals + 1)});
       if (words.at_end()) break;
       const std::string conjunction = words.take();
-      if (conjunction != "and") return leaf::new_error(expected_instead(conjunction, "and"));
+      if (conjunction != "and") return leaf::new_error(expected_error(conjunction, "and"));
     }
   }
   return Command{show, std::nullopt};
@@ -149,7 +149,7 @@
 leaf::result<RolloutObjective> parse_objective(const std::string& text) {
   if (text == "time") return RolloutObjective::time;
   if (text == "origin_bytes") return RolloutObjective::origin_bytes;
-  return leaf::new_error(expected_instead("objective=" + text, "time or origin_bytes"));
+  return leaf::new_error(expected_error("objective=" + text, "time or origin_bytes"));
 }
 
 leaf::result<Command> parse_create(WordReader& words) {
@@ -162,8 +162,8 @@
     BOOST_LEAF_AUTO(options, words.take_options({"digest", "bytes", "chunks", "expect"}));
     create.version.digest = option_or(options, "digest", "");
     if (create.version.digest.size() != 64) {
-      return leaf::new_error(expected_instead("digest=" + create.version.digest,
-                                              "digest= with 64 hexadecimal characters"));
+      return leaf::new_error(expected_error("digest=" + create.version.digest,
+                                            "digest= with 64 hexadecimal characters"));
     }
     BOOST_LEAF_ASSIGN(create.version.bytes,
                       number_option<std::uint64_t>(options, "bytes", std::nullopt));
@@ -173,7 +173,7 @@
     command.body = create;
     return command;
   }
-  if (what != "rollout") return leaf::new_error(expected_instead(what, "version or rollout"));
+  if (what != "rollout") return leaf::new_error(expected_error(what, "version or rollout"));
   CreateRolloutCommand create;
   BOOST_LEAF_ASSIGN(create.model, words.take_name("a model"));
   BOOST_LEAF_ASSIGN(create.version, words.take_name("a version"));
@@ -190,12 +190,12 @@
   return command;
 }
 
-leaf::result<Command> parse_rollout_order(RolloutOrder order, WordReader& words) {
+leaf::result<Command> parse_rollout_operation(RolloutOperation operation, WordReader& words) {
   const std::string what = words.take();
-  if (what != "rollout") return leaf::new_error(expected_instead(what, "rollout"));
+  if (what != "rollout") return leaf::new_error(expected_error(what, "rollout"));
   Command command;
-  OrderRolloutCommand body;
-  body.order = order;
+  ControlRolloutCommand body;
+  body.operation = operation;
   BOOST_LEAF_ASSIGN(body.model, words.take_name("a model"));
   BOOST_LEAF_AUTO(options, words.take_options({"expect"}));
   BOOST_LEAF_CHECK(read_expect(options, command));
@@ -212,8 +212,8 @@
                     number_option<std::uint32_t>(options, "replicas", std::nullopt));
   BOOST_LEAF_ASSIGN(body.target.floor, number_option<std::uint32_t>(options, "floor", 0U));
   if (body.target.floor > body.target.replicas) {
-    return leaf::new_error(expected_instead("floor=" + std::to_string(body.target.floor),
-                                            "a floor of at most replicas"));
+    return leaf::new_error(expected_error("floor=" + std::to_string(body.target.floor),
+                                          "a floor of at most replicas"));
   }
   BOOST_LEAF_CHECK(read_expect(options, command));
   command.body = body;
@@ -234,10 +234,10 @@
   const bool to_model = !body.route.alias.empty() && !body.route.model.empty() &&
                         body.route.path_prefix.empty() && body.route.service.empty();
   if (!to_service && !to_model) {
-    return leaf::new_error(expected_instead("", "either path= and service=, or alias= and model="));
+    return leaf::new_error(expected_error("", "either path= and service=, or alias= and model="));
   }
   if (to_service && body.route.path_prefix.front() != '/') {
-    return leaf::new_error(expected_instead("path=" + body.route.path_prefix, "a path from /"));
+    return leaf::new_error(expected_error("path=" + body.route.path_prefix, "a path from /"));
   }
   BOOST_LEAF_CHECK(read_expect(options, command));
   command.body = body;
@@ -256,7 +256,7 @@
   BOOST_LEAF_ASSIGN(body.tenant.in_flight, number_option<std::uint32_t>(options, "in_flight", 0U));
   BOOST_LEAF_ASSIGN(body.tenant.priority, number_option<int>(options, "priority", 0));
   if (!(body.tenant.requests_per_second > 0) || !(body.tenant.burst > 0)) {
-    return leaf::new_error(expected_instead("rate or burst", "more than 0"));
+    return leaf::new_error(expected_error("rate or burst", "more than 0"));
   }
   BOOST_LEAF_CHECK(read_expect(options, command));
   command.body = body;
@@ -268,7 +268,7 @@
   if (what == "target") return parse_set_target(words);
   if (what == "route") return parse_set_route(words);
   if (what == "tenant") return parse_set_tenant(words);
-  return leaf::new_error(expected_instead(what, "target, route or tenant"));
+  return leaf::new_error(expected_error(what, "target, route or tenant"));
 }
 
 leaf::result<Command> parse_delete(WordReader& words) {
@@ -279,13 +279,13 @@
   const std::string what = words.take();
   const auto kind = kKinds.find(what);
   if (kind == kKinds.end()) {
-    return leaf::new_error(expected_instead(what, "target, route, tenant or version"));
+    return leaf::new_error(expected_error(what, "target, route, tenant or version"));
   }
   Command command;
   DeleteCommand body;
   body.kind = kind->second;
   body.name = words.take();
-  if (body.name.empty()) return leaf::new_error(expected_instead("", "a name"));
+  if (body.name.empty()) return leaf::new_error(expected_error("", "a name"));
   BOOST_LEAF_AUTO(options, words.take_options({"expect"}));
   BOOST_LEAF_CHECK(read_expect(options, command));
   command.body = body;
@@ -294,7 +294,7 @@
 
 leaf::result<Command> parse_stop(WordReader& words, bool cancel) {
   const std::string what = words.take();
-  if (what != "stop") return leaf::new_error(expected_instead(what, "stop"));
+  if (what != "stop") return leaf::new_error(expected_error(what, "stop"));
   Command command;
   BOOST_LEAF_AUTO(machine, words.take_name("a machine"));
   if (cancel) {
@@ -306,7 +306,7 @@
   BOOST_LEAF_AUTO(options, words.take_options({"force", "expect"}));
   const std::string force = option_or(options, "force", "false");
   if (force != "true" && force != "false") {
-    return leaf::new_error(expected_instead("force=" + force, "true or false"));
+    return leaf::new_error(expected_error("force=" + force, "true or false"));
   }
   BOOST_LEAF_CHECK(read_expect(options, command));
   command.body = PlanStopCommand{machine, force == "true"};
@@ -321,15 +321,15 @@
   if (verb == "show") return parse_show(reader);
   if (verb == "explain") return parse_explain(reader);
   if (verb == "create") return parse_create(reader);
-  if (verb == "pause") return parse_rollout_order(RolloutOrder::pause, reader);
-  if (verb == "resume") return parse_rollout_order(RolloutOrder::resume, reader);
-  if (verb == "abort") return parse_rollout_order(RolloutOrder::abort, reader);
-  if (verb == "rollback") return parse_rollout_order(RolloutOrder::rollback, reader);
+  if (verb == "pause") return parse_rollout_operation(RolloutOperation::pause, reader);
+  if (verb == "resume") return parse_rollout_operation(RolloutOperation::resume, reader);
+  if (verb == "abort") return parse_rollout_operation(RolloutOperation::abort, reader);
+  if (verb == "rollback") return parse_rollout_operation(RolloutOperation::rollback, reader);
   if (verb == "set") return parse_set(reader);
   if (verb == "delete") return parse_delete(reader);
   if (verb == "plan") return parse_stop(reader, false);
   if (verb == "cancel") return parse_stop(reader, true);
-  return leaf::new_error(expected_instead(
+  return leaf::new_error(expected_error(
       verb, "show, explain, create, pause, resume, abort, rollback, set, delete, plan or cancel"));
 }
 
--- a/src/commands/query.cpp
+++ b/src/commands/query.cpp
@@ -62,9 +62,9 @@
               {}};
   for (const auto& [name, object] : view.configuration.all<Rollout>()) {
     const Rollout& rollout = object.value;
-    const bool backwards = rollout.state == "ABORTING" || rollout.state == "ABORTED";
+    const bool reverting = rollout.state == "ABORTING" || rollout.state == "ABORTED";
     const RolloutProgress progress =
-        progress_of(view, rollout.model, backwards ? rollout.previous_version : rollout.version);
+        progress_of(view, rollout.model, reverting ? rollout.previous_version : rollout.version);
     const std::uint64_t percent =
         progress.chunks_wanted == 0 ? 0 : progress.chunks_verified * 100 / progress.chunks_wanted;
     table.rows.push_back({rollout.model, rollout.version, rollout.previous_version, rollout.state,
@@ -205,9 +205,9 @@
 
 Table run_explain(const ExplainCommand& command, const QueryView& view) {
   Table table{{"step", "state", "detail"}, {}};
-  const auto add = [&](const std::string& step, bool fine, const std::string& detail) {
-    table.rows.push_back({step, fine ? "yes" : "no", detail});
-    return fine;
+  const auto add = [&](const std::string& step, bool passed, const std::string& detail) {
+    table.rows.push_back({step, passed ? "yes" : "no", detail});
+    return passed;
   };
   const auto* rollout = view.configuration.find<Rollout>(command.model);
   if (!add("rollout exists", rollout != nullptr,
--- a/tests/commands/command_session_test.cpp
+++ b/tests/commands/command_session_test.cpp
@@ -80,20 +80,20 @@
       if (directory_.find(words[1]) == nullptr) directory_.on_hello(tests::hello(words[1]), now_);
       directory_.on_status(words[1], tests::serving("forms", words[2], words[3]), now_);
     } else if (words[0] == "behind" || words[0] == "current") {
-      behind_ = words[0] == "behind";
+      is_outdated_ = words[0] == "behind";
     } else {
       run_command(words);
     }
   }
 
   void run_command(const std::vector<std::string>& words) {
-    if (!behind_) configuration_.apply_listing(store_.revision(), store_.all());
+    if (!is_outdated_) configuration_.apply_listing(store_.revision(), store_.all());
     CommandExecutor executor(
         store_, [this] { return QueryView{configuration_, directory_, "e1", "e1/1", true, now_}; });
-    bool answered = false;
+    bool responded = false;
     executor.run(words, user_, [&](const CommandResult& result) {
-      CPPUNIT_ASSERT(!answered);
-      answered = true;
+      CPPUNIT_ASSERT(!responded);
+      responded = true;
       if (!result.ok) {
         transcript_ += std::string(to_string(result.error.code)) + ": " + result.error.place +
                        ": " + result.error.reason + "\n";
@@ -103,7 +103,7 @@
         transcript_ += result.text + " (version " + std::to_string(result.version) + ")\n";
       }
     });
-    CPPUNIT_ASSERT(answered);
+    CPPUNIT_ASSERT(responded);
   }
 
   TimePoint now_{seconds(1)};
@@ -112,7 +112,7 @@
   BackendDirectory directory_{seconds(3600)};
   std::string user_ = "ann";
   std::string transcript_;
-  bool behind_ = false;
+  bool is_outdated_ = false;
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(CommandSessionTest);
