--- a/src/agent/engine_supervisor.h
+++ b/src/agent/engine_supervisor.h
@@ -14,7 +14,8 @@
 class EngineSupervisor {
  public:
   struct Callbacks {
-    /// The engine responds for the first time, again after it was lost, or after a restart.
+    /// The engine responds for the first time, again after it was lost, or after a restart that
+    /// emptied its memory.
     std::function<void(const EngineState&)> on_engine_ready;
     /// The engine restarted or stopped responding.
     std::function<void()> on_engine_lost;
--- a/src/agent/request_window.h
+++ b/src/agent/request_window.h
@@ -1,7 +1,7 @@
 /// Splits an agent's open chunk requests among concurrent transfers.
 ///
-/// A decision core: no I/O. Transfers of the highest priority get the full window; each of the
-/// others keeps one request, so that none starves.
+/// A decision core: no I/O. Active transfers of the highest priority divide the window; each of
+/// lower priority keeps one request, so that none starves.
 #pragma once
 
 #include <cstdint>
--- a/src/commands/command.h
+++ b/src/commands/command.h
@@ -1,4 +1,4 @@
-/// The query and command language: its parser and the typed commands it yields.
+/// The operators' query and command language: typed commands and their parser.
 ///
 ///   show SUBJECT [where FIELD=VALUE [and FIELD=VALUE]...]
 ///   explain MODEL MACHINE
@@ -12,8 +12,8 @@
 ///   delete target|route|tenant|version NAME
 ///   plan stop MACHINE [force=true]
 ///   cancel stop MACHINE
-/// Every changing command takes expect=VERSION: the version of the object that it is meant
-/// for. Without it, the version that the answering entry sees is expected.
+/// Every command that changes an object accepts expect=VERSION, the version that the object must
+/// have. The default is the version that the entry running the command sees.
 #pragma once
 
 #include <cstdint>
@@ -78,7 +78,7 @@
   Tenant tenant;
 };
 struct DeleteCommand {
-  std::string kind;  ///< Of the object, such as "route".
+  std::string kind;  ///< Kind of the object, such as "route".
   std::string name;
 };
 struct PlanStopCommand {
@@ -99,11 +99,11 @@
   std::optional<ObjectVersion> expect;
 };
 
-/// Parses the words of one command. Fails with invalid_argument naming the word and what
-/// was expected in its place.
+/// Parses the words of one command. Fails with invalid_argument; the error states the word and
+/// what was expected instead.
 leaf::result<Command> parse_command(const std::vector<std::string>& words);
 
-/// Whether running `command` twice does no harm, because it only reads.
+/// @return whether `command` only reads, so that it is safe to repeat.
 bool is_query(const Command& command);
 
 }  // namespace pumicemast
--- a/src/commands/command_executor.cpp
+++ b/src/commands/command_executor.cpp
@@ -6,9 +6,10 @@
 namespace pumicemast {
 namespace {
 
-/// Tries after refusals for rate or outage, and after lost answers that had no effect.
+/// Maximum number of writes of a change. A write is repeated if its response was lost and it
+/// had no effect.
 constexpr int kWriteAttempts = 4;
-/// Share of a target that a rollout may make unavailable unless the operator says otherwise.
+/// By default a rollout may make target / this divisor replicas unavailable, but at least one.
 constexpr std::uint32_t kDefaultUnavailableDivisor = 4;
 
 Error not_found(const std::string& place, const std::string& reason) {
@@ -27,7 +28,7 @@
   return result;
 }
 
-/// `by NAME` when the stored object tells who wrote it.
+/// @return " by NAME" if the stored object records its author, "" otherwise.
 std::string author_of(const nlohmann::json& value) {
   const auto author = value.find("created_by");
   if (author == value.end() || !author->is_string() || author->get<std::string>().empty()) {
@@ -63,7 +64,7 @@
         return result;
       },
       [](const Error& error) { return failed(error); });
-  // A change answers later; everything else now.
+  // A change reports its result later; queries and errors are reported now.
   const bool answered = immediate.ok || !immediate.error.reason.empty();
   if (answered) on_done(immediate);
 }
@@ -118,7 +119,8 @@
         current_rollout->value.state == "ABORTING" || current_rollout->value.state == "ABORTED";
     rollout.previous_version =
         reverting ? current_rollout->value.previous_version : current_rollout->value.version;
-    // A superseded rollout is not the one to go back to, unless it is the first of its model.
+    // A superseded unfinished rollout is not a version to roll back to, unless it is the first
+    // rollout of its model.
     const bool unfinished =
         current_rollout->value.state == "RUNNING" || current_rollout->value.state == "PAUSED";
     if (unfinished && !current_rollout->value.previous_version.empty())
@@ -288,7 +290,7 @@
         on_done(result);
         return;
       case WriteOutcome::conflict:
-        // After an unanswered try the "other" change may be our own.
+        // After an attempt without a response, the conflicting write may be this command's own.
         if (attempt > 1) {
           resolve_unknown_outcome(change, kWriteAttempts, on_done);
         } else {
@@ -314,8 +316,9 @@
 void CommandExecutor::resolve_unknown_outcome(const Change& change, int attempt, OnDone on_done) {
   store_.read(change.kind, change.name, [=, this](const ObjectReadResult& read) {
     if (!read.answered) {
-      on_done(failed({ErrorCode::unknown_outcome, change.kind + "/" + change.name,
-                      "the answer was lost and the object cannot be read; it may have changed"}));
+      on_done(
+          failed({ErrorCode::unknown_outcome, change.kind + "/" + change.name,
+                  "no response to the write and the object cannot be read; it may have changed"}));
       return;
     }
     const bool is_own_write = change.deletion
@@ -337,7 +340,7 @@
     }
     if (attempt >= kWriteAttempts) {
       on_done(failed({ErrorCode::unavailable, change.kind + "/" + change.name,
-                      "nothing was changed: the object API does not answer"}));
+                      "nothing was changed: the object API does not respond to writes"}));
       return;
     }
     write(change, attempt + 1, on_done);
--- a/src/commands/command_executor.h
+++ b/src/commands/command_executor.h
@@ -1,4 +1,4 @@
-/// Carries out commands: queries from the entry's view, changes as conditional updates in
+/// Executes commands: queries against the entry's view, changes as conditional writes through
 /// the object API.
 #pragma once
 
@@ -11,12 +11,12 @@
 
 namespace pumicemast {
 
-/// What became of a command.
+/// Outcome of a command.
 struct CommandResult {
   bool ok = false;
-  Error error;                ///< When not ok.
-  Table table;                ///< Of a query.
-  std::string text;           ///< One line about a change.
+  Error error;                ///< Set if `ok` is false.
+  Table table;                ///< Result of a query.
+  std::string text;           ///< One line that describes a change.
   ObjectVersion version = 0;  ///< New version of the changed object.
 };
 
@@ -27,12 +27,12 @@
   /// @param view  called for each command; the view is used only during the command's start.
   CommandExecutor(ObjectStore& store, std::function<QueryView()> view);
 
-  /// Parses and runs. Answers exactly once.
-  /// @param user  who gives the command; named in conflicts that others see.
+  /// Parses and runs a command. Calls `on_done` exactly once.
+  /// @param user  operator who issued the command; reported to others on a conflict.
   void run(const std::vector<std::string>& words, const std::string& user, OnDone on_done);
 
  private:
-  /// One conditional write and what to say of it.
+  /// A conditional write and the text that reports its success.
   struct Change {
     std::string kind;
     std::string name;
--- a/src/commands/command_parser.cpp
+++ b/src/commands/command_parser.cpp
@@ -34,7 +34,7 @@
   return number;
 }
 
-/// Walks over the words of one command.
+/// Reads the words of one command in order.
 class WordReader {
  public:
   explicit WordReader(const std::vector<std::string>& words) : words_(words) {}
@@ -54,7 +54,7 @@
     return leaf::new_error(expected_error(peek(), "nothing more"));
   }
 
-  /// Reads the remaining words as KEY=VALUE with keys from `allowed`.
+  /// Reads the remaining words as KEY=VALUE options whose keys must be in `allowed`.
   leaf::result<std::map<std::string, std::string>> take_options(
       const std::vector<std::string>& allowed) {
     std::map<std::string, std::string> options;
--- a/src/commands/query.h
+++ b/src/commands/query.h
@@ -1,4 +1,4 @@
-/// Answers queries from the configuration and the membership that one entry sees.
+/// Runs queries on the configuration and the back ends that one entry sees.
 #pragma once
 
 #include "commands/command.h"
@@ -8,19 +8,19 @@
 
 namespace pumicemast {
 
-/// What a query may look at.
+/// The state of an entry that queries read.
 struct QueryView {
   const ConfigurationStore& configuration;
   const BackendDirectory& directory;
   std::string entry;
-  std::string controller;  ///< Holder of the controller lease as last seen.
+  std::string controller;  ///< Last known holder of the controller lease.
   bool platform_reachable = false;
   TimePoint now;
 };
 
 leaf::result<Table> run_show(const ShowCommand& command, const QueryView& view);
 
-/// Says step by step why a model is, or is not, live at a machine.
+/// Lists the conditions for a model to be live at a machine, up to the first unmet one.
 Table run_explain(const ExplainCommand& command, const QueryView& view);
 
 }  // namespace pumicemast
--- a/src/commands/table.h
+++ b/src/commands/table.h
@@ -1,4 +1,4 @@
-/// The answer of a query: named columns and rows of text.
+/// The result of a query: named columns and rows of text.
 #pragma once
 
 #include <string>
@@ -13,10 +13,10 @@
   std::vector<std::vector<std::string>> rows;
 };
 
-/// Keeps the rows that meet every condition. Fails on a field that is no column.
+/// Keeps the rows that meet every condition. Fails if a condition names an unknown column.
 leaf::result<Table> filter_table(Table table, const std::vector<FieldCondition>& conditions);
 
-/// Aligned columns for people, ending in a line feed; "nothing found" when empty.
+/// Formats aligned columns as text that ends in a line feed; "nothing found" without rows.
 std::string format_table(const Table& table);
 
 }  // namespace pumicemast
--- a/tests/commands/command_session_test.cpp
+++ b/tests/commands/command_session_test.cpp
@@ -23,12 +23,12 @@
 
 }  // namespace
 
-/// Golden files of whole sessions: each script in tests/commands/sessions is run, and the
-/// transcript with the resulting objects is compared with the file beside it.
+/// Runs each script in tests/commands/sessions and compares the transcript and the resulting
+/// objects with the golden file of the same name.
 ///
 /// Lines of a script: a command; `user NAME`; `fault refused|lost_before|lost_after`;
 /// `agent MACHINE VERSION STATE`; `behind` and `current`, between which the entry does not
-/// see what others write. To write the golden files anew: scripts/update-golden.
+/// see new writes. To regenerate the golden files, run scripts/update-golden.
 class CommandSessionTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CommandSessionTest);
   CPPUNIT_TEST(rollout_session);
