--- a/src/entry/entry_daemon.cpp
+++ b/src/entry/entry_daemon.cpp
@@ -10,13 +10,13 @@
 
 using nlohmann::json;
 
-/// Changes within this time go out together.
+/// Assignment changes within this time are sent together.
 constexpr Duration kPushDelay = milliseconds(20);
 constexpr Duration kTickInterval = milliseconds(100);
-/// Longest wait for an accepted change to be in force at this entry before it is answered.
-constexpr Duration kInForceLimit = seconds(2);
+/// Bounds the wait for an accepted change to be in force at this entry before the response.
+constexpr Duration kInForceTimeout = seconds(2);
 constexpr Duration kForgetLostAfter = seconds(600);
-/// A silent agent's connection is broken after this many silence limits.
+/// An agent's connection is closed when nothing arrives for this many silence limits.
 constexpr int kSilenceLimitsBeforeDrop = 4;
 
 std::uint64_t random_incarnation() {
@@ -92,7 +92,7 @@
                             front_end_->on_capacity();
                           },
                           [this](const std::string& machine, const wire::Frame& frame) {
-                            front_end_->on_answer(machine, frame);
+                            front_end_->on_response(machine, frame);
                           },
                           [this](const std::string& machine) {
                             directory_.on_disconnected(machine, loop_now());
@@ -143,7 +143,7 @@
   front_end_->on_configuration();
   push_assignments();
   front_end_->on_capacity();
-  answer_commands();
+  respond_to_commands();
 }
 
 void EntryDaemon::push_assignments_soon() {
@@ -151,7 +151,7 @@
 }
 
 void EntryDaemon::push_assignments() {
-  if (!configuration_.listed()) return;  // Nothing is known yet; order nothing.
+  if (!configuration_.listed()) return;  // Without a configuration, no assignment is known.
   for (const auto& [machine, backend] : directory_.all()) {
     if (!backend.connected) continue;
     const auto assignment = assignments_.build_if_changed(configuration_, directory_, machine);
@@ -161,14 +161,14 @@
 
 void EntryDaemon::poll_machine_list() {
   store_->list_machines([this](const MachineListResult& result) {
-    if (!result.answered) return;  // The last known list stays in force.
+    if (!result.answered) return;  // Keeps the last known list.
     directory_.on_machine_list(result.leaving);
   });
 }
 
 void EntryDaemon::tick() {
   front_end_->on_tick();
-  answer_commands();
+  respond_to_commands();
   const TimePoint now = loop_now();
   directory_.forget_lost(kForgetLostAfter, now);
   std::vector<std::string> silent;
@@ -252,17 +252,17 @@
   }
   metrics_.count("pumicemast_entry_commands_total");
   commands_->run(words, user, [this, exchange](const CommandResult& result) {
-    pending_commands_.push_back({exchange, result, loop_now() + kInForceLimit});
-    answer_commands();
+    pending_commands_.push_back({exchange, result, loop_now() + kInForceTimeout});
+    respond_to_commands();
   });
 }
 
-void EntryDaemon::answer_commands() {
+void EntryDaemon::respond_to_commands() {
   const TimePoint now = loop_now();
   std::erase_if(pending_commands_, [&](const PendingCommand& pending) {
     const CommandResult& result = pending.result;
     const bool in_force = !result.ok || result.version <= configuration_.revision();
-    if (!in_force && now < pending.give_up) return false;
+    if (!in_force && now < pending.respond_by) return false;
     pending.exchange->respond(status_of(result), "application/json",
                               result_document(result).dump());
     return true;
--- a/src/entry/front_end.cpp
+++ b/src/entry/front_end.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Duration kClaimRetryAfter = seconds(2);
-constexpr char kOtherTenants[] = "other";
+constexpr char kOtherTenantsLabel[] = "other";
 
 CallerError error_for(RefusalCode code, Outcome outcome, Duration retry_after) {
   CallerError error;
@@ -25,12 +25,12 @@
     case RefusalCode::shutting_down:
       error.status = 503;
       error.type = "overloaded_error";
-      error.message = "No replica has room for the request now.";
+      error.message = "No replica has capacity for the request.";
       break;
     case RefusalCode::queue_full:
       error.status = 429;
       error.type = "rate_limit_error";
-      error.message = "Too many requests wait already.";
+      error.message = "Too many requests are queued.";
       break;
     case RefusalCode::deadline_passed:
       error.status = 504;
@@ -54,19 +54,20 @@
   switch (result) {
     case ClaimResult::finished:
       error.code = "already_executed";
-      error.message = "A request with this idempotency key ran to its end already.";
+      error.message = "A request with this idempotency key has already completed.";
       error.outcome = kOutcomeCompleted;
       break;
     case ClaimResult::taken:
       error.code = "already_claimed";
-      error.message = "Another attempt with this idempotency key runs or may have run.";
+      error.message = "Another attempt with this idempotency key is running or may have run.";
       error.outcome = kOutcomeUnknown;
       break;
     default:
       error.status = 503;
       error.type = "server_error";
       error.code = "claim_unavailable";
-      error.message = "The single execution of this request cannot be assured now.";
+      error.message =
+          "The platform cannot confirm the claim to a single execution of this request.";
       error.outcome = kOutcomeNotRun;
       error.retry_after = kClaimRetryAfter;
       break;
@@ -99,8 +100,8 @@
       limiter_(settings.entry_count) {}
 
 std::string FrontEnd::tenant_label(const std::string& tenant) const {
-  // Names come from callers: only configured ones may become label values.
-  return configuration_.find<Tenant>(tenant) != nullptr ? tenant : kOtherTenants;
+  // Callers choose the tenant name, so only configured tenants become metric label values.
+  return configuration_.find<Tenant>(tenant) != nullptr ? tenant : kOtherTenantsLabel;
 }
 
 void FrontEnd::on_exchange(const HttpExchangePointer& exchange) {
@@ -193,7 +194,7 @@
     metrics_.count("pumicemast_entry_limited_total",
                    {{"tenant", tenant_label(request.tenant)}, {"limit", limit.reason}});
     refuse(*exchange, request,
-           {429, "rate_limit_error", "tenant_limit", "The tenant's limit is reached.",
+           {429, "rate_limit_error", "tenant_limit", "The tenant's request limit is reached.",
             kOutcomeNotRun, limit.retry_after});
     return;
   }
@@ -206,7 +207,7 @@
   caller.priority = limit.priority;
   exchange->on_disconnect([this, number] {
     if (!callers_.contains(number)) return;
-    carry_out(scheduler_.on_caller_gone(number, loop_now()));
+    execute_actions(scheduler_.on_caller_gone(number, loop_now()));
     finish(number, "caller_gone");
   });
   const bool needs_claim = caller.request.non_repeatable && !caller.request.idempotency_key.empty();
@@ -238,7 +239,7 @@
   Caller& caller = callers_.at(number);
   RequestProfile profile;
   CallerError unresolved;
-  resolve(caller.request, profile.need, unresolved);  // Judged when it was admitted.
+  resolve(caller.request, profile.need, unresolved);  // Succeeded on admission.
   if (caller.request.is_model_call && profile.need.model != caller.request.model) {
     caller.request.body = with_model_name(caller.request.body, profile.need.model);
   }
@@ -249,24 +250,24 @@
   if (caller.request.deadline > Duration::zero()) {
     profile.deadline = caller.started + caller.request.deadline;
   }
-  carry_out(scheduler_.on_request(number, std::move(profile), loop_now()));
+  execute_actions(scheduler_.on_request(number, std::move(profile), loop_now()));
 }
 
-void FrontEnd::on_answer(const std::string& machine, const wire::Frame& frame) {
+void FrontEnd::on_response(const std::string& machine, const wire::Frame& frame) {
   const TimePoint now = loop_now();
   switch (frame.body_type()) {
     case wire::Body::RequestRefused: {
       const auto* message = frame.body_as_RequestRefused();
       metrics_.count("pumicemast_entry_backend_refusals_total",
                      {{"reason", wire::EnumNameRefusalReason(message->reason())}});
-      carry_out(scheduler_.on_refused(message->id(), machine, now));
+      execute_actions(scheduler_.on_refused(message->id(), machine, now));
       return;
     }
     case wire::Body::AnswerHead: {
       const auto* message = frame.body_as_AnswerHead();
       const std::string type =
           message->content_type() == nullptr ? "" : message->content_type()->str();
-      carry_out(scheduler_.on_head(message->id(), machine, message->status(), type, now));
+      execute_actions(scheduler_.on_head(message->id(), machine, message->status(), type, now));
       return;
     }
     case wire::Body::AnswerData: {
@@ -274,12 +275,12 @@
       if (message->bytes() == nullptr) return;
       const std::string bytes(reinterpret_cast<const char*>(message->bytes()->data()),
                               message->bytes()->size());
-      carry_out(scheduler_.on_data(message->id(), machine, bytes, now));
+      execute_actions(scheduler_.on_data(message->id(), machine, bytes, now));
       return;
     }
     case wire::Body::AnswerEnd: {
       const auto* message = frame.body_as_AnswerEnd();
-      carry_out(scheduler_.on_end(message->id(), machine, message->whole(), now));
+      execute_actions(scheduler_.on_end(message->id(), machine, message->whole(), now));
       return;
     }
     default:
@@ -288,27 +289,27 @@
 }
 
 void FrontEnd::on_backend_lost(const std::string& machine) {
-  carry_out(scheduler_.on_backend_lost(machine, loop_now()));
+  execute_actions(scheduler_.on_backend_lost(machine, loop_now()));
 }
 
-void FrontEnd::on_capacity() { carry_out(scheduler_.on_capacity(loop_now())); }
+void FrontEnd::on_capacity() { execute_actions(scheduler_.on_capacity(loop_now())); }
 
-void FrontEnd::on_tick() { carry_out(scheduler_.on_tick(loop_now())); }
+void FrontEnd::on_tick() { execute_actions(scheduler_.on_tick(loop_now())); }
 
 void FrontEnd::on_configuration() { limiter_.configure(configuration_.all<Tenant>(), loop_now()); }
 
 void FrontEnd::shut_down() {
   shutting_down_ = true;
-  carry_out(scheduler_.on_shutdown(loop_now()));
+  execute_actions(scheduler_.on_shutdown(loop_now()));
 }
 
-void FrontEnd::carry_out(const SchedulerActions& actions) {
+void FrontEnd::execute_actions(const SchedulerActions& actions) {
   for (const SchedulerAction& action : actions) {
-    std::visit([this](const auto& typed) { act(typed); }, action);
+    std::visit([this](const auto& typed) { execute(typed); }, action);
   }
 }
 
-void FrontEnd::act(const SubmitToBackend& action) {
+void FrontEnd::execute(const SubmitToBackend& action) {
   const auto found = callers_.find(action.request);
   if (found == callers_.end()) return;
   const CallerRequest& request = found->second.request;
@@ -328,23 +329,23 @@
   message.priority = found->second.priority;
   message.resume_from_event = action.resume_from_event;
   const bool sent = hub_.send(action.machine, message);
-  // Not connected any more: the request certainly did not reach the agent.
-  if (!sent) carry_out(scheduler_.on_refused(action.request, action.machine, loop_now()));
+  // The agent is no longer connected, so the request certainly did not reach it.
+  if (!sent) execute_actions(scheduler_.on_refused(action.request, action.machine, loop_now()));
 }
 
-void FrontEnd::act(const CancelAtBackend& action) {
+void FrontEnd::execute(const CancelAtBackend& action) {
   wire::CancelRequestT message;
   message.id = action.request;
   hub_.send(action.machine, message);
 }
 
-void FrontEnd::act(const StartAnswer& action) {
+void FrontEnd::execute(const StartAnswer& action) {
   const auto found = callers_.find(action.request);
   if (found == callers_.end()) return;
   Caller& caller = found->second;
   caller.status = action.status;
   caller.content_type = action.content_type;
-  caller.answer_started = true;
+  caller.response_started = true;
   observe_first_byte(caller);
   if (!caller.request.stream) return;
   caller.exchange->start_stream(
@@ -357,7 +358,7 @@
                    loop_now() - caller.started);
 }
 
-void FrontEnd::act(const AnswerBytes& action) {
+void FrontEnd::execute(const AnswerBytes& action) {
   const auto found = callers_.find(action.request);
   if (found == callers_.end()) return;
   if (found->second.request.stream) {
@@ -367,7 +368,7 @@
   }
 }
 
-void FrontEnd::act(const FinishAnswer& action) {
+void FrontEnd::execute(const FinishAnswer& action) {
   const auto found = callers_.find(action.request);
   if (found == callers_.end()) return;
   Caller& caller = found->second;
@@ -382,7 +383,7 @@
   finish(action.request, kOutcomeCompleted);
 }
 
-void FrontEnd::act(const RefuseRequest& action) {
+void FrontEnd::execute(const RefuseRequest& action) {
   const auto found = callers_.find(action.request);
   if (found == callers_.end()) return;
   Caller& caller = found->second;
@@ -393,13 +394,13 @@
   finish(action.request, error.outcome.c_str());
 }
 
-void FrontEnd::act(const AbortAnswer& action) {
+void FrontEnd::execute(const AbortAnswer& action) {
   const auto found = callers_.find(action.request);
   if (found == callers_.end()) return;
   Caller& caller = found->second;
   const CallerError error = error_for(action.code, Outcome::unknown, Duration::zero());
   metrics_.count("pumicemast_entry_refusals_total", {{"code", error.code}});
-  // No [DONE] follows, so that the caller knows the answer is not whole.
+  // Without a final [DONE] the caller recognizes that the response is incomplete.
   caller.exchange->write(stream_error_event(error));
   caller.exchange->finish();
   if (!caller.claim.empty()) claims_.settle(caller.claim, true);
