--- a/src/entry/front_end.cpp
+++ b/src/entry/front_end.cpp
@@ -148,7 +148,8 @@
   return false;
 }
 
-bool FrontEnd::resolve(const CallerRequest& request, RoutingNeed& need, CallerError& error) const {
+bool FrontEnd::resolve(const CallerRequest& request, RoutingRequirements& need,
+                       CallerError& error) const {
   error = CallerError{404, "invalid_request_error", "", "", kOutcomeNotRun};
   if (request.is_model_call) {
     need.affinity = request.affinity;
@@ -182,7 +183,7 @@
         {413, "invalid_request_error", "body_too_large", "The body is too large.", kOutcomeNotRun});
     return;
   }
-  RoutingNeed need;
+  RoutingRequirements need;
   CallerError unresolved;
   if (!resolve(request, need, unresolved)) {
     refuse(*exchange, request, unresolved);
@@ -206,7 +207,7 @@
   caller.priority = limit.priority;
   exchange->on_disconnect([this, number] {
     if (!callers_.contains(number)) return;
-    carry_out(scheduler_.on_caller_gone(number, loop_now()));
+    carry_out(scheduler_.on_caller_disconnected(number, loop_now()));
     finish(number, "caller_gone");
   });
   const bool needs_claim = caller.request.non_repeatable && !caller.request.idempotency_key.empty();
@@ -238,9 +239,9 @@
   Caller& caller = callers_.at(number);
   RequestProfile profile;
   CallerError unresolved;
-  resolve(caller.request, profile.need, unresolved);  // Judged when it was admitted.
-  if (caller.request.is_model_call && profile.need.model != caller.request.model) {
-    caller.request.body = with_model_name(caller.request.body, profile.need.model);
+  resolve(caller.request, profile.requirements, unresolved);  // Judged when it was admitted.
+  if (caller.request.is_model_call && profile.requirements.model != caller.request.model) {
+    caller.request.body = with_model_name(caller.request.body, profile.requirements.model);
   }
   profile.tenant = caller.request.tenant;
   profile.stream = caller.request.stream;
@@ -338,7 +339,7 @@
   hub_.send(action.machine, message);
 }
 
-void FrontEnd::act(const StartAnswer& action) {
+void FrontEnd::act(const StartResponse& action) {
   const auto found = callers_.find(action.request);
   if (found == callers_.end()) return;
   Caller& caller = found->second;
@@ -357,7 +358,7 @@
                    loop_now() - caller.started);
 }
 
-void FrontEnd::act(const AnswerBytes& action) {
+void FrontEnd::act(const ForwardBytes& action) {
   const auto found = callers_.find(action.request);
   if (found == callers_.end()) return;
   if (found->second.request.stream) {
@@ -367,7 +368,7 @@
   }
 }
 
-void FrontEnd::act(const FinishAnswer& action) {
+void FrontEnd::act(const FinishResponse& action) {
   const auto found = callers_.find(action.request);
   if (found == callers_.end()) return;
   Caller& caller = found->second;
@@ -393,7 +394,7 @@
   finish(action.request, error.outcome.c_str());
 }
 
-void FrontEnd::act(const AbortAnswer& action) {
+void FrontEnd::act(const AbortStreamedResponse& action) {
   const auto found = callers_.find(action.request);
   if (found == callers_.end()) return;
   Caller& caller = found->second;
--- a/src/entry/front_end.h
+++ b/src/entry/front_end.h
@@ -50,17 +50,17 @@
 
   void admit(const HttpExchangePointer& exchange, CallerRequest request);
   void submit(RequestNumber number);
-  bool resolve(const CallerRequest& request, RoutingNeed& need, CallerError& error) const;
+  bool resolve(const CallerRequest& request, RoutingRequirements& need, CallerError& error) const;
   bool resolve_model(const std::string& name, std::string& model) const;
   void refuse(HttpExchange& exchange, const CallerRequest& request, const CallerError& error);
   void carry_out(const SchedulerActions& actions);
   void act(const SubmitToBackend& action);
   void act(const CancelAtBackend& action);
-  void act(const StartAnswer& action);
-  void act(const AnswerBytes& action);
-  void act(const FinishAnswer& action);
+  void act(const StartResponse& action);
+  void act(const ForwardBytes& action);
+  void act(const FinishResponse& action);
   void act(const RefuseRequest& action);
-  void act(const AbortAnswer& action);
+  void act(const AbortStreamedResponse& action);
   void observe_first_byte(const Caller& caller);
   void finish(RequestNumber number, const char* outcome);
   std::string tenant_label(const std::string& tenant) const;
--- a/src/rollout/rollout_controller.cpp
+++ b/src/rollout/rollout_controller.cpp
@@ -21,7 +21,7 @@
   return now - std::max(gone_since, acquired_at_) >= options_.replace_after;
 }
 
-bool RolloutController::is_going(const ModelContext& context, const std::string& machine) const {
+bool RolloutController::is_leaving(const ModelContext& context, const std::string& machine) const {
   const Backend* backend = context.directory.find(machine);
   if (backend != nullptr && (backend->leaving || backend->status.draining)) return true;
   return context.configuration.find<PlannedStop>(machine) != nullptr;
@@ -99,7 +99,7 @@
   std::uint32_t staying = 0;
   std::map<std::string, std::uint32_t> per_zone;
   for (const auto& [machine, held] : placement.machines) {
-    if (is_going(context, machine)) continue;
+    if (is_leaving(context, machine)) continue;
     ++staying;
     const Backend* backend = context.directory.find(machine);
     if (backend != nullptr) ++per_zone[backend->hello.location.zone];
@@ -112,7 +112,7 @@
     Order best_order;
     for (const auto& [machine, backend] : context.directory.all()) {
       if (!backend.hello.is_engine || placement.machines.contains(machine)) continue;
-      if (is_going(context, machine)) continue;
+      if (is_leaving(context, machine)) continue;
       if (!context.directory.accepts_work(backend, context.now)) continue;
       const std::uint64_t planned = planned_bytes(context, machine);
       if (planned + version->value.bytes > backend.hello.memory_bytes) continue;
@@ -133,7 +133,7 @@
 void RolloutController::remove_surplus(const ModelContext& context, Placement& placement) const {
   std::vector<std::string> staying;
   for (const auto& [machine, held] : placement.machines) {
-    if (!is_going(context, machine)) staying.push_back(machine);
+    if (!is_leaving(context, machine)) staying.push_back(machine);
   }
   const bool settled = context.rollout.state == "COMPLETED" || context.rollout.state == "ABORTED";
   while (staying.size() > wanted_replicas(context)) {
@@ -198,7 +198,7 @@
   std::uint32_t live = 0;
   bool all_desired = true;
   for (const auto& [machine, held] : placement.machines) {
-    if (is_going(context, machine)) continue;
+    if (is_leaving(context, machine)) continue;
     const bool is_live = !context.desired.empty() && has_live(context, machine, context.desired);
     if (is_live) ++live;
     all_desired = all_desired && is_live;
--- a/src/rollout/rollout_controller.h
+++ b/src/rollout/rollout_controller.h
@@ -74,7 +74,7 @@
                     TimePoint now, ControllerActions& actions);
 
   bool is_lost(const BackendDirectory& directory, const std::string& machine, TimePoint now) const;
-  bool is_going(const ModelContext& context, const std::string& machine) const;
+  bool is_leaving(const ModelContext& context, const std::string& machine) const;
   bool has_live(const ModelContext& context, const std::string& machine,
                 const std::string& version) const;
   std::uint32_t live_count(const ModelContext& context, const Placement& placement) const;
--- a/src/routing/backend_directory.cpp
+++ b/src/routing/backend_directory.cpp
@@ -5,9 +5,9 @@
 namespace pumicemast {
 
 std::uint32_t Backend::estimated_in_flight() const {
-  const std::uint32_t of_others =
+  const std::uint32_t others_in_flight =
       status.in_flight - std::min(status.in_flight, outstanding_at_report);
-  return of_others + outstanding;
+  return others_in_flight + outstanding;
 }
 
 const ReplicaView* Backend::live_replica(const std::string& model) const {
@@ -83,7 +83,7 @@
 }
 
 bool BackendDirectory::is_reachable(const Backend& backend, TimePoint now) const {
-  return backend.connected && now - backend.last_heard <= silence_limit_;
+  return backend.connected && now - backend.last_heard <= silence_timeout_;
 }
 
 bool BackendDirectory::accepts_work(const Backend& backend, TimePoint now) const {
--- a/src/routing/backend_directory.h
+++ b/src/routing/backend_directory.h
@@ -78,8 +78,8 @@
 
 class BackendDirectory {
  public:
-  /// @param silence_limit  a back end that was not heard for so long gets no new work.
-  explicit BackendDirectory(Duration silence_limit) : silence_limit_(silence_limit) {}
+  /// @param silence_timeout  a back end that was not heard for so long gets no new work.
+  explicit BackendDirectory(Duration silence_timeout) : silence_timeout_(silence_timeout) {}
 
   void on_hello(const BackendHello& hello, TimePoint now);
   void on_status(const std::string& machine, const BackendStatus& status, TimePoint now);
@@ -101,7 +101,7 @@
   const Backend* find(const std::string& machine) const;
 
  private:
-  Duration silence_limit_;
+  Duration silence_timeout_;
   std::map<std::string, Backend> backends_;
   std::set<std::string> leaving_;
   std::set<std::string> stopping_;
--- a/src/routing/request_scheduler.cpp
+++ b/src/routing/request_scheduler.cpp
@@ -59,7 +59,7 @@
 
 bool RequestScheduler::dispatch(RequestNumber request, Session& session, TimePoint now,
                                 SchedulerActions& actions) {
-  auto choice = router_.choose(session.profile.need, session.excluded, now);
+  auto choice = router_.choose(session.profile.requirements, session.excluded, now);
   if (!choice) return false;
   queue_.remove(request, true);
   session.machine = choice->machine;
@@ -91,21 +91,21 @@
   }
 }
 
-void RequestScheduler::leave_backend(Session& session) {
+void RequestScheduler::release_backend(Session& session) {
   if (!session.machine.empty()) directory_.on_finished(session.machine);
   session.machine.clear();
 }
 
 void RequestScheduler::finish(RequestNumber request, SchedulerActions& actions) {
-  leave_backend(sessions_.at(request));
+  release_backend(sessions_.at(request));
   sessions_.erase(request);
   ++counters_.finished;
-  actions.push_back(FinishAnswer{request});
+  actions.push_back(FinishResponse{request});
 }
 
 void RequestScheduler::give_up(RequestNumber request, RefusalCode code, SchedulerActions& actions) {
   Session& session = sessions_.at(request);
-  leave_backend(session);
+  release_backend(session);
   queue_.remove(request, false);
   const Outcome outcome = session.may_have_run ? Outcome::unknown : Outcome::not_run;
   if (outcome == Outcome::unknown) {
@@ -113,8 +113,8 @@
   } else {
     ++counters_.final_not_run;
   }
-  if (session.answer_started) {
-    actions.push_back(AbortAnswer{request, code});
+  if (session.response_started) {
+    actions.push_back(AbortStreamedResponse{request, code});
   } else {
     actions.push_back(RefuseRequest{request, code, outcome, options_.retry_after_hint});
   }
@@ -127,7 +127,7 @@
   Session* session = running_at(request, machine);
   if (session == nullptr) return actions;
   ++counters_.refused_by_backend;
-  leave_backend(*session);
+  release_backend(*session);
   // Only an attempt before this one can have run.
   session->may_have_run = session->attempts > 0;
   session->excluded.insert(machine);
@@ -156,17 +156,17 @@
   const std::size_t end = session.buffered.rfind(kEventEnd);
   if (end == std::string::npos) return;
   const std::size_t length = end + sizeof(kEventEnd) - 1;
-  std::string whole_events = session.buffered.substr(0, length);
+  std::string complete_events = session.buffered.substr(0, length);
   session.buffered.erase(0, length);
-  for (std::size_t position = whole_events.find(kEventEnd); position != std::string::npos;
-       position = whole_events.find(kEventEnd, position + 2)) {
+  for (std::size_t position = complete_events.find(kEventEnd); position != std::string::npos;
+       position = complete_events.find(kEventEnd, position + 2)) {
     ++session.events_forwarded;
   }
-  if (!session.answer_started) {
-    session.answer_started = true;
-    actions.push_back(StartAnswer{request, session.status, session.content_type});
+  if (!session.response_started) {
+    session.response_started = true;
+    actions.push_back(StartResponse{request, session.status, session.content_type});
   }
-  actions.push_back(AnswerBytes{request, std::move(whole_events)});
+  actions.push_back(ForwardBytes{request, std::move(complete_events)});
 }
 
 SchedulerActions RequestScheduler::on_data(RequestNumber request, const std::string& machine,
@@ -181,21 +181,21 @@
 }
 
 SchedulerActions RequestScheduler::on_end(RequestNumber request, const std::string& machine,
-                                          bool whole, TimePoint now) {
+                                          bool complete, TimePoint now) {
   SchedulerActions actions;
   Session* session = running_at(request, machine);
   if (session == nullptr) return actions;
-  const bool resumed_into_error = session->answer_started && session->status != 200;
-  if (!whole || session->status == 0 || resumed_into_error) {
+  const bool resumed_into_error = session->response_started && session->status != 200;
+  if (!complete || session->status == 0 || resumed_into_error) {
     session->excluded.insert(machine);
     fail_attempt(request, now, actions);
     return actions;
   }
-  if (!session->answer_started) {
-    actions.push_back(StartAnswer{request, session->status, session->content_type});
+  if (!session->response_started) {
+    actions.push_back(StartResponse{request, session->status, session->content_type});
   }
   if (!session->buffered.empty()) {
-    actions.push_back(AnswerBytes{request, std::move(session->buffered)});
+    actions.push_back(ForwardBytes{request, std::move(session->buffered)});
   }
   finish(request, actions);
   SchedulerActions more = on_capacity(now);
@@ -206,7 +206,7 @@
 void RequestScheduler::fail_attempt(RequestNumber request, TimePoint now,
                                     SchedulerActions& actions) {
   Session& session = sessions_.at(request);
-  leave_backend(session);
+  release_backend(session);
   ++session.attempts;
   session.may_have_run = true;
   session.buffered.clear();
@@ -219,9 +219,9 @@
     give_up(request, RefusalCode::backend_failed, actions);
     return;
   }
-  if (session.answer_started) {
+  if (session.response_started) {
     // The rest must come from the same weights as the part that the caller has.
-    session.profile.need.digest = session.running_digest;
+    session.profile.requirements.digest = session.running_digest;
     ++counters_.resumed;
   } else {
     ++counters_.retried;
@@ -244,14 +244,14 @@
   return actions;
 }
 
-SchedulerActions RequestScheduler::on_caller_gone(RequestNumber request, TimePoint now) {
+SchedulerActions RequestScheduler::on_caller_disconnected(RequestNumber request, TimePoint now) {
   SchedulerActions actions;
   const auto found = sessions_.find(request);
   if (found == sessions_.end()) return actions;
   if (!found->second.machine.empty()) {
     actions.push_back(CancelAtBackend{request, found->second.machine});
   }
-  leave_backend(found->second);
+  release_backend(found->second);
   queue_.remove(request, false);
   sessions_.erase(found);
   SchedulerActions more = on_capacity(now);
@@ -265,8 +265,8 @@
   std::set<std::tuple<std::string, std::string, std::string>> full;
   for (const RequestNumber request : queue_.in_order()) {
     Session& session = sessions_.at(request);
-    const RoutingNeed& need = session.profile.need;
-    const std::tuple key{need.model, need.service, need.digest};
+    const RoutingRequirements& requirements = session.profile.requirements;
+    const std::tuple key{requirements.model, requirements.service, requirements.digest};
     if (session.excluded.empty() && full.contains(key)) continue;
     if (!dispatch(request, session, now, actions) && session.excluded.empty()) full.insert(key);
   }
--- a/src/routing/request_scheduler.h
+++ b/src/routing/request_scheduler.h
@@ -4,7 +4,8 @@
 /// ends, retries or resumes what failed, and says of every refusal whether the request ran.
 ///
 /// Invariants:
-/// - each request gets exactly one final action (FinishAnswer, RefuseRequest, AbortAnswer);
+/// - each request gets exactly one final action (FinishResponse, RefuseRequest,
+/// AbortStreamedResponse);
 /// - a refusal says `not_run` only when no back end ever may have started the request;
 /// - a non-repeatable request is submitted again only after a refusal that proves it did
 ///   not run;
@@ -45,7 +46,7 @@
 
 struct RequestProfile {
   std::string tenant;
-  RoutingNeed need;
+  RoutingRequirements requirements;
   bool stream = false;
   bool non_repeatable = false;
   int priority = 0;
@@ -76,16 +77,16 @@
   RequestNumber request = 0;
   std::string machine;
 };
-struct StartAnswer {
+struct StartResponse {
   RequestNumber request = 0;
   std::uint16_t status = 0;
   std::string content_type;
 };
-struct AnswerBytes {
+struct ForwardBytes {
   RequestNumber request = 0;
   std::string bytes;
 };
-struct FinishAnswer {
+struct FinishResponse {
   RequestNumber request = 0;
 };
 /// Nothing was sent to the caller yet: a plain error answer.
@@ -96,12 +97,12 @@
   Duration retry_after = Duration::zero();
 };
 /// A streamed answer cannot be completed: an error event, then the connection is cut.
-struct AbortAnswer {
+struct AbortStreamedResponse {
   RequestNumber request = 0;
   RefusalCode code = RefusalCode::backend_failed;
 };
-using SchedulerAction = std::variant<SubmitToBackend, CancelAtBackend, StartAnswer, AnswerBytes,
-                                     FinishAnswer, RefuseRequest, AbortAnswer>;
+using SchedulerAction = std::variant<SubmitToBackend, CancelAtBackend, StartResponse, ForwardBytes,
+                                     FinishResponse, RefuseRequest, AbortStreamedResponse>;
 using SchedulerActions = std::vector<SchedulerAction>;
 
 /// Totals for metrics.
@@ -128,11 +129,11 @@
   SchedulerActions on_data(RequestNumber request, const std::string& machine,
                            const std::string& bytes, TimePoint now);
   /// @param whole  false when the back end failed in mid-answer.
-  SchedulerActions on_end(RequestNumber request, const std::string& machine, bool whole,
+  SchedulerActions on_end(RequestNumber request, const std::string& machine, bool complete,
                           TimePoint now);
   /// The connection to `machine` broke: everything submitted there may have run.
   SchedulerActions on_backend_lost(const std::string& machine, TimePoint now);
-  SchedulerActions on_caller_gone(RequestNumber request, TimePoint now);
+  SchedulerActions on_caller_disconnected(RequestNumber request, TimePoint now);
   /// Room may have appeared: dispatches queued requests. Call after membership changes too.
   SchedulerActions on_capacity(TimePoint now);
   /// Expires waits and deadlines. Call several times a second.
@@ -153,7 +154,7 @@
     std::uint32_t attempts = 0;
     std::uint32_t refusals = 0;
     bool may_have_run = false;
-    bool answer_started = false;  ///< Bytes went to the caller.
+    bool response_started = false;  ///< Bytes went to the caller.
     std::uint32_t events_forwarded = 0;
     std::uint16_t status = 0;
     std::string content_type;
@@ -165,7 +166,7 @@
   Session* running_at(RequestNumber request, const std::string& machine);
   void dispatch_or_queue(RequestNumber request, TimePoint now, SchedulerActions& actions);
   bool dispatch(RequestNumber request, Session& session, TimePoint now, SchedulerActions& actions);
-  void leave_backend(Session& session);
+  void release_backend(Session& session);
   void fail_attempt(RequestNumber request, TimePoint now, SchedulerActions& actions);
   void give_up(RequestNumber request, RefusalCode code, SchedulerActions& actions);
   void finish(RequestNumber request, SchedulerActions& actions);
--- a/src/routing/retry_budget.h
+++ b/src/routing/retry_budget.h
@@ -13,7 +13,7 @@
       : ratio_(ratio), reserve_(reserve), balance_(reserve) {}
   /// Starts with `advance` retries, which the first that are earned pay back.
   RetryBudget(double ratio, double reserve, double advance)
-      : ratio_(ratio), reserve_(reserve), balance_(advance), owed_(advance) {}
+      : ratio_(ratio), reserve_(reserve), balance_(advance), unpaid_advance_(advance) {}
 
   /// Another reserve; what is left of a larger one is cut to it, nothing is added.
   void set_reserve(double reserve) {
@@ -23,8 +23,8 @@
   /// Retries that no first attempt has earned, up to the reserve.
   void grant(double retries) { balance_ = std::min(reserve_, balance_ + retries); }
   void on_first_attempt() {
-    const double paid_back = std::min(owed_, ratio_);
-    owed_ -= paid_back;
+    const double paid_back = std::min(unpaid_advance_, ratio_);
+    unpaid_advance_ -= paid_back;
     grant(ratio_ - paid_back);
   }
   bool try_spend() {
@@ -38,7 +38,7 @@
   double ratio_;
   double reserve_;
   double balance_;
-  double owed_ = 0;  ///< Of the advance.
+  double unpaid_advance_ = 0;  ///< Of the advance.
 };
 
 }  // namespace pumicemast
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -13,16 +13,18 @@
   return there.zone == options_.location.zone ? Ring::zone : Ring::region;
 }
 
-std::optional<Router::Candidate> Router::candidate(const Backend& backend, const RoutingNeed& need,
+std::optional<Router::Candidate> Router::candidate(const Backend& backend,
+                                                   const RoutingRequirements& requirements,
                                                    TimePoint now) const {
   if (!directory_.accepts_work(backend, now)) return std::nullopt;
   std::string digest;
-  if (need.model.empty()) {
-    if (backend.hello.is_engine || backend.hello.service != need.service) return std::nullopt;
+  if (requirements.model.empty()) {
+    if (backend.hello.is_engine || backend.hello.service != requirements.service)
+      return std::nullopt;
   } else {
-    const ReplicaView* replica = backend.live_replica(need.model);
+    const ReplicaView* replica = backend.live_replica(requirements.model);
     if (replica == nullptr) return std::nullopt;
-    if (!need.digest.empty() && replica->digest != need.digest) return std::nullopt;
+    if (!requirements.digest.empty() && replica->digest != requirements.digest) return std::nullopt;
     digest = replica->digest;
   }
   const std::uint32_t load = backend.estimated_in_flight();
@@ -32,13 +34,13 @@
                    load >= options_.spill_fraction * limit};
 }
 
-std::optional<RoutingChoice> Router::choose(const RoutingNeed& need,
+std::optional<RoutingChoice> Router::choose(const RoutingRequirements& requirements,
                                             const std::set<std::string>& excluded,
                                             TimePoint now) const {
   std::vector<Candidate> candidates;
   for (const auto& [machine, backend] : directory_.all()) {
     if (excluded.contains(machine)) continue;
-    if (auto found = candidate(backend, need, now)) candidates.push_back(std::move(*found));
+    if (auto found = candidate(backend, requirements, now)) candidates.push_back(std::move(*found));
   }
   if (candidates.empty()) return std::nullopt;
 
@@ -56,8 +58,8 @@
   const Candidate* chosen = nullptr;
   std::uint64_t best_weight = 0;
   for (const Candidate& other : candidates) {
-    if (need.affinity == 0 ? other.load > best.load : other.load > load_limit) continue;
-    const std::uint64_t weight = stable_hash(other.backend->hello.machine, need.affinity);
+    if (requirements.affinity == 0 ? other.load > best.load : other.load > load_limit) continue;
+    const std::uint64_t weight = stable_hash(other.backend->hello.machine, requirements.affinity);
     if (chosen != nullptr && weight <= best_weight) continue;
     chosen = &other;
     best_weight = weight;
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -13,7 +13,7 @@
 namespace pumicemast {
 
 /// What a request needs of a back end.
-struct RoutingNeed {
+struct RoutingRequirements {
   std::string model;           ///< "" for a plain service.
   std::string service;         ///< "" for a model.
   std::string digest;          ///< Only this version may answer; "" for any live one.
@@ -39,7 +39,7 @@
       : directory_(directory), options_(std::move(options)) {}
 
   /// The best back end not in `excluded`, or nullopt when none has room now.
-  std::optional<RoutingChoice> choose(const RoutingNeed& need,
+  std::optional<RoutingChoice> choose(const RoutingRequirements& requirements,
                                       const std::set<std::string>& excluded, TimePoint now) const;
 
  private:
@@ -52,8 +52,8 @@
     bool nearly_full;
   };
 
-  std::optional<Candidate> candidate(const Backend& backend, const RoutingNeed& need,
-                                     TimePoint now) const;
+  std::optional<Candidate> candidate(const Backend& backend,
+                                     const RoutingRequirements& requirements, TimePoint now) const;
   Ring ring_of(const Backend& backend) const;
 
   const BackendDirectory& directory_;
--- a/tests/routing/request_scheduler_test.cpp
+++ b/tests/routing/request_scheduler_test.cpp
@@ -24,17 +24,17 @@
 
 class RequestSchedulerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RequestSchedulerTest);
-  CPPUNIT_TEST(answers_in_one_piece_only_when_it_is_whole);
+  CPPUNIT_TEST(forwards_a_buffered_response_only_when_complete);
   CPPUNIT_TEST(retries_a_repeatable_request_elsewhere);
   CPPUNIT_TEST(never_resubmits_a_non_repeatable_request_that_may_have_run);
   CPPUNIT_TEST(resubmits_a_non_repeatable_request_that_was_refused);
   CPPUNIT_TEST(resumes_a_stream_only_from_the_same_version);
-  CPPUNIT_TEST(a_stream_that_cannot_be_resumed_is_cut_visibly);
+  CPPUNIT_TEST(aborts_a_stream_that_cannot_be_resumed);
   CPPUNIT_TEST(queues_without_room_and_refuses_at_once_when_it_gives_up);
   CPPUNIT_TEST(a_deadline_ends_waiting_and_running_requests);
-  CPPUNIT_TEST(a_late_answer_reaches_nobody);
+  CPPUNIT_TEST(ignores_a_response_from_a_released_back_end);
   CPPUNIT_TEST(retries_stop_when_the_budget_is_spent);
-  CPPUNIT_TEST(history_of_random_runs_keeps_the_promises);
+  CPPUNIT_TEST(random_histories_keep_the_invariants);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -45,14 +45,14 @@
     }
   }
 
-  void answers_in_one_piece_only_when_it_is_whole() {
+  void forwards_a_buffered_response_only_when_complete() {
     const auto submit = submitted(scheduler_.on_request(1, profile(), now_));
     scheduler_.on_head(1, submit.machine, 200, "application/json", now_);
     CPPUNIT_ASSERT(scheduler_.on_data(1, submit.machine, "part", now_).empty());
     const SchedulerActions end = scheduler_.on_end(1, submit.machine, true, now_);
-    CPPUNIT_ASSERT_EQUAL(std::uint16_t{200}, find_action<StartAnswer>(end)->status);
-    CPPUNIT_ASSERT_EQUAL(std::string("part"), find_action<AnswerBytes>(end)->bytes);
-    CPPUNIT_ASSERT(find_action<FinishAnswer>(end) != nullptr);
+    CPPUNIT_ASSERT_EQUAL(std::uint16_t{200}, find_action<StartResponse>(end)->status);
+    CPPUNIT_ASSERT_EQUAL(std::string("part"), find_action<ForwardBytes>(end)->bytes);
+    CPPUNIT_ASSERT(find_action<FinishResponse>(end) != nullptr);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, scheduler_.active());
   }
 
@@ -65,7 +65,7 @@
     scheduler_.on_head(1, second.machine, 200, "t", now_);
     scheduler_.on_data(1, second.machine, "whole", now_);
     const SchedulerActions end = scheduler_.on_end(1, second.machine, true, now_);
-    CPPUNIT_ASSERT_EQUAL(std::string("whole"), find_action<AnswerBytes>(end)->bytes);
+    CPPUNIT_ASSERT_EQUAL(std::string("whole"), find_action<ForwardBytes>(end)->bytes);
   }
 
   void never_resubmits_a_non_repeatable_request_that_may_have_run() {
@@ -96,7 +96,7 @@
     scheduler_.on_head(1, first.machine, 200, "text/event-stream", now_);
     const SchedulerActions data =
         scheduler_.on_data(1, first.machine, std::string(kEvent) + kEvent + "data: ha", now_);
-    CPPUNIT_ASSERT_EQUAL(std::string(kEvent) + kEvent, find_action<AnswerBytes>(data)->bytes);
+    CPPUNIT_ASSERT_EQUAL(std::string(kEvent) + kEvent, find_action<ForwardBytes>(data)->bytes);
     const std::string other = first.machine == "a" ? "b" : "a";
     directory_.on_status(other, tests::serving("forms", "v2"), now_);
     directory_.on_disconnected(first.machine, now_);
@@ -109,11 +109,11 @@
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{2}, second.resume_from_event);
     scheduler_.on_head(1, "c", 200, "text/event-stream", now_);
     const SchedulerActions rest = scheduler_.on_data(1, "c", kEvent, now_);
-    CPPUNIT_ASSERT(find_action<StartAnswer>(rest) == nullptr);
-    CPPUNIT_ASSERT(find_action<FinishAnswer>(scheduler_.on_end(1, "c", true, now_)) != nullptr);
+    CPPUNIT_ASSERT(find_action<StartResponse>(rest) == nullptr);
+    CPPUNIT_ASSERT(find_action<FinishResponse>(scheduler_.on_end(1, "c", true, now_)) != nullptr);
   }
 
-  void a_stream_that_cannot_be_resumed_is_cut_visibly() {
+  void aborts_a_stream_that_cannot_be_resumed() {
     const auto first = submitted(scheduler_.on_request(1, stream(), now_));
     scheduler_.on_head(1, first.machine, 200, "text/event-stream", now_);
     scheduler_.on_data(1, first.machine, kEvent, now_);
@@ -121,7 +121,7 @@
     scheduler_.on_backend_lost(first.machine, now_);
     now_ += seconds(6);
     const SchedulerActions expired = scheduler_.on_tick(now_);
-    CPPUNIT_ASSERT(find_action<AbortAnswer>(expired) != nullptr);
+    CPPUNIT_ASSERT(find_action<AbortStreamedResponse>(expired) != nullptr);
     CPPUNIT_ASSERT(find_action<RefuseRequest>(expired) == nullptr);
   }
 
@@ -155,7 +155,7 @@
     CPPUNIT_ASSERT(Outcome::not_run == find_action<RefuseRequest>(late)->outcome);
   }
 
-  void a_late_answer_reaches_nobody() {
+  void ignores_a_response_from_a_released_back_end() {
     const auto first = submitted(scheduler_.on_request(1, profile(), now_));
     scheduler_.on_refused(1, first.machine, now_);
     CPPUNIT_ASSERT(scheduler_.on_head(1, first.machine, 200, "t", now_).empty());
@@ -172,7 +172,7 @@
       if (const auto* again = find_action<SubmitToBackend>(failed)) {
         ++retried;
         scheduler_.on_end(number, again->machine, true, now_);
-        scheduler_.on_caller_gone(number, now_);
+        scheduler_.on_caller_disconnected(number, now_);
       } else {
         ++refused;
       }
@@ -183,7 +183,7 @@
 
   /// Random answers, failures, refusals and losses; every request's history is checked:
   /// one final action, no second run of what may not be repeated, no false "not run".
-  void history_of_random_runs_keeps_the_promises() {
+  void random_histories_keep_the_invariants() {
     for (unsigned seed = 1; seed <= 300; ++seed) run_random_history(seed);
   }
 
@@ -192,7 +192,7 @@
     bool non_repeatable = false;
     std::uint32_t runs = 0;
     std::uint32_t finals = 0;
-    bool told_not_run = false;
+    bool refused_as_not_run = false;
   };
 
   void run_random_history(unsigned seed) {
@@ -215,10 +215,10 @@
           running[submit->request] = submit->machine;
         } else if (const auto* refuse = std::get_if<RefuseRequest>(&action)) {
           ++histories[refuse->request].finals;
-          histories[refuse->request].told_not_run = refuse->outcome == Outcome::not_run;
-        } else if (const auto* finish = std::get_if<FinishAnswer>(&action)) {
+          histories[refuse->request].refused_as_not_run = refuse->outcome == Outcome::not_run;
+        } else if (const auto* finish = std::get_if<FinishResponse>(&action)) {
           ++histories[finish->request].finals;
-        } else if (const auto* abort = std::get_if<AbortAnswer>(&action)) {
+        } else if (const auto* abort = std::get_if<AbortStreamedResponse>(&action)) {
           ++histories[abort->request].finals;
         }
       }
@@ -238,17 +238,17 @@
         auto chosen = running.begin();
         std::advance(chosen, random() % running.size());
         const auto [request, machine] = *chosen;
-        const unsigned fate = random() % 6;
-        if (fate == 0) {
+        const unsigned event = random() % 6;
+        if (event == 0) {
           running.erase(chosen);
           record(scheduler.on_refused(request, machine, now));
-        } else if (fate <= 2) {
+        } else if (event <= 2) {
           ++histories[request].runs;
           running.erase(chosen);
           record(scheduler.on_head(request, machine, 200, "t", now));
           record(scheduler.on_data(request, machine, kEvent, now));
-          record(scheduler.on_end(request, machine, fate == 1, now));
-        } else if (fate == 3) {
+          record(scheduler.on_end(request, machine, event == 1, now));
+        } else if (event == 3) {
           for (auto& [other, where] : std::map(running)) {
             if (where != machine) continue;
             if (random() % 2 == 0) ++histories[other].runs;
@@ -271,7 +271,7 @@
     for (const auto& [request, history] : histories) {
       CPPUNIT_ASSERT_EQUAL(std::uint32_t{1}, history.finals);
       if (history.non_repeatable) CPPUNIT_ASSERT(history.runs <= 1);
-      if (history.told_not_run) CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, history.runs);
+      if (history.refused_as_not_run) CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, history.runs);
     }
     for (const auto& [name, backend] : directory.all()) {
       CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, backend.outstanding);
@@ -281,7 +281,7 @@
   static RequestProfile profile() {
     RequestProfile result;
     result.tenant = "t";
-    result.need.model = "forms";
+    result.requirements.model = "forms";
     return result;
   }
   static RequestProfile stream() {
--- a/tests/routing/retry_budget_test.cpp
+++ b/tests/routing/retry_budget_test.cpp
@@ -7,7 +7,7 @@
 class RetryBudgetTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RetryBudgetTest);
   CPPUNIT_TEST(first_attempts_earn_retries_up_to_the_reserve);
-  CPPUNIT_TEST(a_smaller_reserve_takes_away_what_is_beyond_it);
+  CPPUNIT_TEST(a_smaller_reserve_caps_the_balance);
   CPPUNIT_TEST(a_larger_reserve_adds_nothing_at_once);
   CPPUNIT_TEST_SUITE_END();
 
@@ -28,7 +28,7 @@
   }
 
   // More gateways share the reserve than was thought.
-  void a_smaller_reserve_takes_away_what_is_beyond_it() {
+  void a_smaller_reserve_caps_the_balance() {
     RetryBudget budget(0.5, 20);
     budget.set_reserve(5);
     CPPUNIT_ASSERT_EQUAL(5, spend_all(budget));
--- a/tests/routing/router_test.cpp
+++ b/tests/routing/router_test.cpp
@@ -10,7 +10,7 @@
 class RouterTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RouterTest);
   CPPUNIT_TEST(prefers_its_zone_then_its_region);
-  CPPUNIT_TEST(spills_over_when_the_near_ones_are_full);
+  CPPUNIT_TEST(spills_over_when_nearer_back_ends_are_full);
   CPPUNIT_TEST(keeps_a_prefix_at_one_back_end_unless_it_is_busier);
   CPPUNIT_TEST(gives_no_work_to_leaving_stopping_silent_or_draining_back_ends);
   CPPUNIT_TEST(counts_its_own_requests_since_the_last_report);
@@ -27,7 +27,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("zone"), choose());
   }
 
-  void spills_over_when_the_near_ones_are_full() {
+  void spills_over_when_nearer_back_ends_are_full() {
     add("zone", "z1", "r1", 9);
     add("region", "z2", "r1", 0);
     CPPUNIT_ASSERT_EQUAL(std::string("region"), choose());
@@ -38,13 +38,13 @@
 
   void keeps_a_prefix_at_one_back_end_unless_it_is_busier() {
     for (const char* name : {"a", "b", "c"}) add(name, "z1", "r1");
-    need_.affinity = 77;
-    const std::string favourite = choose();
-    CPPUNIT_ASSERT_EQUAL(favourite, choose());
-    add(favourite, "z1", "r1", 4);
-    CPPUNIT_ASSERT_EQUAL(favourite, choose());
-    add(favourite, "z1", "r1", 5);
-    CPPUNIT_ASSERT(favourite != choose());
+    requirements_.affinity = 77;
+    const std::string preferred = choose();
+    CPPUNIT_ASSERT_EQUAL(preferred, choose());
+    add(preferred, "z1", "r1", 4);
+    CPPUNIT_ASSERT_EQUAL(preferred, choose());
+    add(preferred, "z1", "r1", 5);
+    CPPUNIT_ASSERT(preferred != choose());
   }
 
   void gives_no_work_to_leaving_stopping_silent_or_draining_back_ends() {
@@ -89,10 +89,10 @@
     BackendStatus status;
     status.queue_limit = 1;
     directory_.on_status("s", status, now_);
-    need_ = {"", "notices", "", 0};
+    requirements_ = {"", "notices", "", 0};
     CPPUNIT_ASSERT_EQUAL(std::string("s"), choose());
     add("old", "z1", "r1");
-    need_ = {"forms", "", "digest-v2", 0};
+    requirements_ = {"forms", "", "digest-v2", 0};
     CPPUNIT_ASSERT_EQUAL(std::string(), choose());
     directory_.on_status("old", tests::serving("forms", "v2"), now_);
     CPPUNIT_ASSERT_EQUAL(std::string("old"), choose());
@@ -120,13 +120,13 @@
   }
   std::string choose() {
     const Router router(directory_, {{"r1", "z1"}});
-    const auto choice = router.choose(need_, {}, now_);
+    const auto choice = router.choose(requirements_, {}, now_);
     return choice ? choice->machine : "";
   }
 
   TimePoint now_{seconds(1)};
   BackendDirectory directory_{seconds(3)};
-  RoutingNeed need_{"forms", "", "", 0};
+  RoutingRequirements requirements_{"forms", "", "", 0};
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(RouterTest);
