--- a/src/routing/backend_directory.h
+++ b/src/routing/backend_directory.h
@@ -1,8 +1,7 @@
-/// Membership as one entry sees it: every back end, what it serves and whether it may get
-/// new work.
+/// The back ends known to one entry: what each of them serves and whether it accepts new work.
 ///
-/// A decision core: no I/O. It joins three sources: the agents' own connections, the
-/// platform's machine list (which lags) and the planned stops of the configuration.
+/// A decision core: no I/O. Combines three sources: the agents' connections, the platform's
+/// machine list (which lags behind) and the planned stops in the configuration.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +14,7 @@
 
 namespace pumicemast {
 
-/// Where a process runs.
+/// Region and zone in which a process runs.
 struct Location {
   std::string region;
   std::string zone;
@@ -32,7 +31,7 @@
   bool is_live() const { return state == "LIVE"; }
 };
 
-/// An agent's first message.
+/// First message of an agent on its connection.
 struct BackendHello {
   std::string machine;
   Location location;
@@ -43,9 +42,9 @@
   std::uint64_t memory_bytes = 0;
 };
 
-/// An agent's periodic report.
+/// Periodic status report of an agent.
 struct BackendStatus {
-  /// By model; a model may have one replica serving and another version staged.
+  /// Keyed by model. A model may have one replica that serves and another version that is staged.
   std::multimap<std::string, ReplicaView> replicas;
   std::uint32_t in_flight = 0;
   std::uint32_t queue_limit = 0;
@@ -63,39 +62,40 @@
   bool connected = false;
   TimePoint last_heard{};
   TimePoint disconnected_at{};
-  bool leaving = false;           ///< The machine list says so.
-  bool stop_planned = false;      ///< The configuration says so.
-  std::uint32_t outstanding = 0;  ///< Requests of this entry that run there.
+  bool leaving = false;           ///< According to the machine list.
+  bool stop_planned = false;      ///< According to the configuration.
+  std::uint32_t outstanding = 0;  ///< Requests of this entry in progress.
   std::uint32_t outstanding_at_report = 0;
 
-  /// Requests that probably run there, from the lagging report and our own since then.
+  /// Estimated requests in progress: those of other entries from the last report, plus the current
+  /// requests of this entry.
   std::uint32_t estimated_in_flight() const;
-  /// The replica that serves `model`, or null.
+  /// Returns the replica that serves `model`, or null.
   const ReplicaView* live_replica(const std::string& model) const;
-  /// The replica of `model` with `version`, or null.
+  /// Returns the replica of `model` with `version`, or null.
   const ReplicaView* replica(const std::string& model, const std::string& version) const;
 };
 
 class BackendDirectory {
  public:
-  /// @param silence_timeout  a back end that was not heard for so long gets no new work.
+  /// @param silence_timeout  time without a message after which a back end gets no new work.
   explicit BackendDirectory(Duration silence_timeout) : silence_timeout_(silence_timeout) {}
 
   void on_hello(const BackendHello& hello, TimePoint now);
   void on_status(const std::string& machine, const BackendStatus& status, TimePoint now);
   void on_disconnected(const std::string& machine, TimePoint now);
-  /// Machines that the platform's list calls leaving.
+  /// Sets the machines that are marked as leaving in the platform's list.
   void on_machine_list(const std::set<std::string>& leaving);
-  /// Machines with a planned stop, in whatever state.
+  /// Sets the machines that have a planned stop, whatever its state.
   void on_planned_stops(const std::set<std::string>& stopping);
   void on_submitted(const std::string& machine);
   void on_finished(const std::string& machine);
-  /// Forgets machines that have been gone for longer than `age`.
+  /// Removes machines without requests that have been disconnected for longer than `age`.
   void forget_lost(Duration age, TimePoint now);
 
-  /// Whether new work may go to `backend`.
+  /// Whether `backend` may be sent new requests.
   bool accepts_work(const Backend& backend, TimePoint now) const;
-  /// Connected and heard of lately.
+  /// Whether `backend` is connected and sent a message within the silence timeout.
   bool is_reachable(const Backend& backend, TimePoint now) const;
   const std::map<std::string, Backend>& all() const { return backends_; }
   const Backend* find(const std::string& machine) const;
--- a/src/routing/request_scheduler.h
+++ b/src/routing/request_scheduler.h
@@ -1,15 +1,16 @@
-/// Carries each caller's request from acceptance to its one final answer.
+/// Schedules each caller's request from acceptance to its single final response.
 ///
-/// A decision core: no I/O. It queues requests that find no room, dispatches them to back
-/// ends, retries or resumes what failed, and says of every refusal whether the request ran.
+/// A decision core: no I/O. Queues requests while no back end has capacity, dispatches them to back
+/// ends, retries or resumes failed attempts, and states with every refusal whether the request may
+/// have run.
 ///
 /// Invariants:
 /// - each request gets exactly one final action (FinishResponse, RefuseRequest,
 /// AbortStreamedResponse);
-/// - a refusal says `not_run` only when no back end ever may have started the request;
+/// - a refusal says `not_run` only when no back end can have started the request;
 /// - a non-repeatable request is submitted again only after a refusal that proves it did
 ///   not run;
-/// - a streamed answer continues only from a replica of the same digest.
+/// - a streamed response continues only from a replica of the same digest.
 #pragma once
 
 #include <cstdint>
@@ -30,16 +31,16 @@
 /// Identifies a request within one entry.
 using RequestNumber = std::uint64_t;
 
-/// What a caller is told about a request that got no whole answer.
+/// Whether a request without a complete response may have run, as reported to the caller.
 enum class Outcome { not_run, unknown };
 const char* to_string(Outcome outcome);
 
 enum class RefusalCode {
   unknown_model,
-  no_capacity,  ///< No room within the longest wait.
+  no_capacity,  ///< No back end had capacity within queue_wait.
   queue_full,
   deadline_passed,
-  backend_failed,  ///< A back end failed in mid-request.
+  backend_failed,  ///< A back end failed while it handled the request.
   shutting_down,
 };
 const char* to_string(RefusalCode code);
@@ -55,18 +56,18 @@
 
 struct SchedulerOptions {
   std::uint32_t queue_limit = 1024;
-  /// Longest wait for room before the request is refused as not run.
+  /// Longest time in the queue before the request is refused.
   Duration queue_wait = seconds(5);
-  /// Submissions of one request that may have run before it is given up.
+  /// Failed attempts, each of which may have run, after which a request is given up.
   std::uint32_t attempts = 3;
-  /// Refusals by back ends that one request may collect.
+  /// Refusals by back ends after which a request is given up.
   std::uint32_t refusals = 8;
-  /// Retries may add this share to the requests of the last seconds.
+  /// Retries that each first attempt earns.
   double retry_ratio = 0.2;
   Duration retry_after_hint = seconds(1);
 };
 
-// ---- actions, to be carried out in order ----
+// ---- actions, to be executed in order ----
 struct SubmitToBackend {
   RequestNumber request = 0;
   std::string machine;
@@ -89,14 +90,14 @@
 struct FinishResponse {
   RequestNumber request = 0;
 };
-/// Nothing was sent to the caller yet: a plain error answer.
+/// Send an error response; nothing has been sent to the caller yet.
 struct RefuseRequest {
   RequestNumber request = 0;
   RefusalCode code = RefusalCode::no_capacity;
   Outcome outcome = Outcome::not_run;
   Duration retry_after = Duration::zero();
 };
-/// A streamed answer cannot be completed: an error event, then the connection is cut.
+/// A streamed response cannot be completed: send an error event, then close the connection.
 struct AbortStreamedResponse {
   RequestNumber request = 0;
   RefusalCode code = RefusalCode::backend_failed;
@@ -122,23 +123,23 @@
   RequestScheduler(BackendDirectory& directory, const Router& router, SchedulerOptions options);
 
   SchedulerActions on_request(RequestNumber request, RequestProfile profile, TimePoint now);
-  /// The back end answered that the request did not and will not run there.
+  /// The back end refused: the request did not and will not run there.
   SchedulerActions on_refused(RequestNumber request, const std::string& machine, TimePoint now);
   SchedulerActions on_head(RequestNumber request, const std::string& machine, std::uint16_t status,
                            const std::string& content_type, TimePoint now);
   SchedulerActions on_data(RequestNumber request, const std::string& machine,
                            const std::string& bytes, TimePoint now);
-  /// @param whole  false when the back end failed in mid-answer.
+  /// @param complete  false when the back end failed during the response.
   SchedulerActions on_end(RequestNumber request, const std::string& machine, bool complete,
                           TimePoint now);
-  /// The connection to `machine` broke: everything submitted there may have run.
+  /// The connection to `machine` was lost: every request submitted there may have run.
   SchedulerActions on_backend_lost(const std::string& machine, TimePoint now);
   SchedulerActions on_caller_disconnected(RequestNumber request, TimePoint now);
-  /// Room may have appeared: dispatches queued requests. Call after membership changes too.
+  /// Dispatches queued requests where back ends have capacity. Call after membership changes too.
   SchedulerActions on_capacity(TimePoint now);
-  /// Expires waits and deadlines. Call several times a second.
+  /// Ends requests whose deadline or queue wait has passed. Call several times a second.
   SchedulerActions on_tick(TimePoint now);
-  /// Refuses all that is queued; what runs goes on.
+  /// Refuses all queued requests; requests in progress continue.
   SchedulerActions on_shutdown(TimePoint now);
 
   std::size_t active() const { return sessions_.size(); }
@@ -148,17 +149,18 @@
  private:
   struct Session {
     RequestProfile profile;
-    std::string machine;             ///< Where it runs; "" while it waits.
-    std::string running_digest;      ///< Version that it was last submitted to.
-    std::set<std::string> excluded;  ///< Back ends that refused or failed it lately.
+    std::string machine;         ///< Back end that runs it; "" while queued.
+    std::string running_digest;  ///< Digest of the version of the last attempt.
+    std::set<std::string>
+        excluded;  ///< Back ends that refused it or failed; cleared while it is queued.
     std::uint32_t attempts = 0;
     std::uint32_t refusals = 0;
     bool may_have_run = false;
-    bool response_started = false;  ///< Bytes went to the caller.
+    bool response_started = false;  ///< Bytes were sent to the caller.
     std::uint32_t events_forwarded = 0;
     std::uint16_t status = 0;
     std::string content_type;
-    std::string buffered;  ///< Whole answer, or the unfinished last event.
+    std::string buffered;  ///< Complete response, or the incomplete last event.
     TimePoint queued_at{};
   };
   using Sessions = std::map<RequestNumber, Session>;
--- a/src/routing/retry_budget.h
+++ b/src/routing/retry_budget.h
@@ -1,26 +1,26 @@
-/// Bounds retries to a share of the first attempts, so that failures cannot multiply load.
+/// Limits retries to a fraction of the first attempts, so that failures cannot multiply the load.
 #pragma once
 
 #include <algorithm>
 
 namespace pumicemast {
 
-/// Each first attempt earns `ratio` of a retry, up to `reserve` retries.
+/// Each first attempt adds `ratio` retries to the balance, which is at most `reserve`.
 class RetryBudget {
  public:
-  /// Starts full, so that a quiet entry may retry the first failures.
+  /// Starts with the full reserve, so that a process with little traffic can retry first failures.
   explicit RetryBudget(double ratio, double reserve = 50)
       : ratio_(ratio), reserve_(reserve), balance_(reserve) {}
-  /// Starts with `advance` retries, which the first that are earned pay back.
+  /// Starts with `advance` retries, which are deducted from the first earned retries.
   RetryBudget(double ratio, double reserve, double advance)
       : ratio_(ratio), reserve_(reserve), balance_(advance), unpaid_advance_(advance) {}
 
-  /// Another reserve; what is left of a larger one is cut to it, nothing is added.
+  /// Changes the reserve. A balance above the new reserve is reduced to it; nothing is added.
   void set_reserve(double reserve) {
     reserve_ = reserve;
     balance_ = std::min(balance_, reserve_);
   }
-  /// Retries that no first attempt has earned, up to the reserve.
+  /// Adds unearned retries, up to the reserve.
   void grant(double retries) { balance_ = std::min(reserve_, balance_ + retries); }
   void on_first_attempt() {
     const double paid_back = std::min(unpaid_advance_, ratio_);
@@ -38,7 +38,7 @@
   double ratio_;
   double reserve_;
   double balance_;
-  double unpaid_advance_ = 0;  ///< Of the advance.
+  double unpaid_advance_ = 0;  ///< Part of the advance that is not yet earned.
 };
 
 }  // namespace pumicemast
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -44,7 +44,7 @@
   }
   if (candidates.empty()) return std::nullopt;
 
-  // The nearest ring that still has room; when all are nearly full, the nearest of all.
+  // The nearest ring with a back end that is not nearly full; if there is none, the nearest ring.
   const auto nearer = [](const Candidate& left, const Candidate& right) {
     return std::tie(left.nearly_full, left.ring, left.load) <
            std::tie(right.nearly_full, right.ring, right.load);
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -1,7 +1,8 @@
 /// Chooses the back end that runs one request.
 ///
-/// A decision core: no I/O. Nearest first (zone, region, anywhere); within a ring the back
-/// end that already holds the prompt's prefix, unless it is clearly busier than the idlest.
+/// A decision core: no I/O. Prefers near back ends (own zone, own region, anywhere). Within such a
+/// ring it prefers the back end that the prompt's prefix hashes to, which probably has the prefix
+/// cached, unless that back end has clearly more load than the least loaded one.
 #pragma once
 
 #include <optional>
@@ -12,25 +13,25 @@
 
 namespace pumicemast {
 
-/// What a request needs of a back end.
+/// What a request requires of a back end.
 struct RoutingRequirements {
   std::string model;           ///< "" for a plain service.
   std::string service;         ///< "" for a model.
-  std::string digest;          ///< Only this version may answer; "" for any live one.
+  std::string digest;          ///< Only this version may serve it; "" for any live one.
   std::uint64_t affinity = 0;  ///< Hash of the prompt's prefix; 0 for none.
 };
 
 struct RouterOptions {
   Location location;
-  /// A back end this much fuller than the idlest loses its affinity advantage.
+  /// Requests that the preferred back end may have in progress beyond the least loaded one's.
   std::uint32_t affinity_slack = 4;
-  /// Work goes to another zone once every back end of the nearer ring is this full.
+  /// Requests go to a farther ring once every back end of the nearer ring has this load fraction.
   double spill_fraction = 0.8;
 };
 
 struct RoutingChoice {
   std::string machine;
-  std::string digest;  ///< Version that is live there; "" for a plain service.
+  std::string digest;  ///< Version live at the machine; "" for a plain service.
 };
 
 class Router {
@@ -38,7 +39,7 @@
   Router(const BackendDirectory& directory, RouterOptions options)
       : directory_(directory), options_(std::move(options)) {}
 
-  /// The best back end not in `excluded`, or nullopt when none has room now.
+  /// Returns the best back end not in `excluded`, or nullopt when none has capacity now.
   std::optional<RoutingChoice> choose(const RoutingRequirements& requirements,
                                       const std::set<std::string>& excluded, TimePoint now) const;
 
--- a/src/routing/wait_queue.h
+++ b/src/routing/wait_queue.h
@@ -1,4 +1,4 @@
-/// Requests that wait for room: by priority, then fairly between tenants.
+/// Queue of requests that wait for capacity, ordered by priority, then fairly between tenants.
 #pragma once
 
 #include <cstdint>
@@ -9,8 +9,8 @@
 
 namespace pumicemast {
 
-/// Start-time fair queueing within each priority: a tenant's n-th waiting request queues
-/// behind the n-th of every other tenant, however many it has.
+/// Start-time fair queueing within each priority: the n-th waiting requests of all tenants come
+/// before any tenant's next one, however many requests a tenant has queued.
 class WaitQueue {
  public:
   void push(std::uint64_t request, const std::string& tenant, int priority) {
@@ -20,7 +20,7 @@
     by_order_[key] = request;
     by_request_[request] = key;
   }
-  /// Removes `request` if it waits. `dispatched` moves the virtual time on.
+  /// Removes `request` if it is queued. `dispatched` advances the virtual time.
   void remove(std::uint64_t request, bool dispatched) {
     const auto found = by_request_.find(request);
     if (found == by_request_.end()) return;
@@ -31,7 +31,7 @@
   }
   bool contains(std::uint64_t request) const { return by_request_.contains(request); }
   std::size_t size() const { return by_order_.size(); }
-  /// Requests in the order in which they are to be served.
+  /// Returns the requests in dispatch order.
   std::vector<std::uint64_t> in_order() const {
     std::vector<std::uint64_t> requests;
     requests.reserve(by_order_.size());
--- a/tests/routing/request_scheduler_test.cpp
+++ b/tests/routing/request_scheduler_test.cpp
@@ -181,8 +181,9 @@
     CPPUNIT_ASSERT(refused > 60);
   }
 
-  /// Random answers, failures, refusals and losses; every request's history is checked:
-  /// one final action, no second run of what may not be repeated, no false "not run".
+  /// Random responses, failures, refusals and lost back ends. Checks of each request that it gets
+  /// exactly one final action, that a non-repeatable request runs at most once, and that no
+  /// request that ran is refused as not run.
   void random_histories_keep_the_invariants() {
     for (unsigned seed = 1; seed <= 300; ++seed) run_random_history(seed);
   }
@@ -296,7 +297,7 @@
   }
   static SubmitToBackend submitted(const SchedulerActions& actions) {
     const auto* submit = find_action<SubmitToBackend>(actions);
-    if (submit == nullptr) throw std::runtime_error("nothing was submitted");
+    if (submit == nullptr) throw std::runtime_error("the scheduler submitted no request");
     return *submit;
   }
 
--- a/tests/routing/retry_budget_test.cpp
+++ b/tests/routing/retry_budget_test.cpp
@@ -27,7 +27,7 @@
     CPPUNIT_ASSERT_EQUAL(3, spend_all(budget));
   }
 
-  // More gateways share the reserve than was thought.
+  // The reserve shrinks when more gateways than assumed share it.
   void a_smaller_reserve_caps_the_balance() {
     RetryBudget budget(0.5, 20);
     budget.set_reserve(5);
--- a/tests/routing/router_test.cpp
+++ b/tests/routing/router_test.cpp
@@ -75,7 +75,7 @@
     directory_.on_finished("a");
     directory_.on_finished("a");
     CPPUNIT_ASSERT_EQUAL(std::string("a"), choose());
-    // A report that counts our own requests must not count them twice.
+    // Requests of this entry that a report includes must not be counted twice.
     directory_.on_submitted("a");
     add("a", "z1", "r1", 1);
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{1}, directory_.find("a")->estimated_in_flight());
