--- a/src/replica/replica_manager.cpp
+++ b/src/replica/replica_manager.cpp
@@ -27,7 +27,7 @@
 ReplicaActions ReplicaManager::on_orders(const std::vector<ReplicaOrder>& orders) {
   orders_.clear();
   for (const ReplicaOrder& order : orders) orders_[order.model] = order;
-  ordered_ = true;
+  orders_received_ = true;
   return reconcile();
 }
 
@@ -96,7 +96,7 @@
 
 ReplicaActions ReplicaManager::reconcile() {
   ReplicaActions actions;
-  if (!ordered_) return actions;
+  if (!orders_received_) return actions;
   for (const auto& [model, order] : orders_) reconcile_model(order, actions);
   drop_unwanted(actions);
   return actions;
--- a/src/replica/replica_manager.h
+++ b/src/replica/replica_manager.h
@@ -116,7 +116,7 @@
   const StateChart& chart_;
   std::map<std::string, ReplicaOrder> orders_;  ///< By model.
   std::map<std::string, Replica> replicas_;
-  bool ordered_ = false;  ///< Nothing is dropped before the first orders arrived.
+  bool orders_received_ = false;  ///< Nothing is dropped before the first orders arrived.
 };
 
 }  // namespace pumicemast
--- a/tests/replica/replica_manager_test.cpp
+++ b/tests/replica/replica_manager_test.cpp
@@ -28,13 +28,13 @@
   CPPUNIT_TEST(keeps_serving_the_old_version_until_the_new_one_is_live);
   CPPUNIT_TEST(waits_for_requests_before_it_switches);
   CPPUNIT_TEST(a_superseded_fetch_stops);
-  CPPUNIT_TEST(a_failed_activation_goes_back_to_serving_and_fetches_again);
-  CPPUNIT_TEST(an_order_taken_back_reopens_the_previous_version);
-  CPPUNIT_TEST(an_activation_under_way_is_not_dropped);
+  CPPUNIT_TEST(a_failed_activation_resumes_serving_and_fetches_again);
+  CPPUNIT_TEST(a_withdrawn_order_reopens_the_previous_version);
+  CPPUNIT_TEST(a_version_being_activated_is_not_dropped);
   CPPUNIT_TEST(an_engine_restart_starts_over);
   CPPUNIT_TEST(a_removed_model_drains_before_it_is_dropped);
   CPPUNIT_TEST(recovers_what_the_engine_serves);
-  CPPUNIT_TEST(never_activates_what_is_not_verified);
+  CPPUNIT_TEST(never_activates_an_unverified_version);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -80,7 +80,7 @@
     CPPUNIT_ASSERT(manager_.on_verified("d1").empty());
   }
 
-  void a_failed_activation_goes_back_to_serving_and_fetches_again() {
+  void a_failed_activation_resumes_serving_and_fetches_again() {
     make_live(kFirst);
     order(kSecond, kSecond);
     manager_.on_verified("d2");
@@ -91,7 +91,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("no"), manager_.replicas().at("d2").note);
   }
 
-  void an_order_taken_back_reopens_the_previous_version() {
+  void a_withdrawn_order_reopens_the_previous_version() {
     make_live(kFirst);
     order(kSecond, kSecond);
     manager_.on_verified("d2");  // Closed; waits for requests.
@@ -100,7 +100,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("d2"), find_action<DropVersion>(back)->digest);
   }
 
-  void an_activation_under_way_is_not_dropped() {
+  void a_version_being_activated_is_not_dropped() {
     make_live(kFirst);
     order(kSecond, kSecond);
     manager_.on_verified("d2");
@@ -140,7 +140,7 @@
 
   /// Random orders and events: activation only of a version that was verified since the
   /// engine last lost its memory, and never two versions live.
-  void never_activates_what_is_not_verified() {
+  void never_activates_an_unverified_version() {
     for (unsigned seed = 1; seed <= 300; ++seed) {
       std::mt19937 random(seed);
       ReplicaManager manager(tests::charts().replica);
