--- a/src/replica/replica_manager.cpp
+++ b/src/replica/replica_manager.cpp
@@ -54,7 +54,7 @@
     actions.push_back(OpenAdmission{wanted.model, wanted.version.digest});
   }
   if (wanted.state == "STAGED" && step(wanted, "serve_ordered", actions)) {
-    wanted.note = "waiting for requests of the previous version";
+    wanted.note = "waiting for requests of the previous version to finish";
     actions.push_back(CloseAdmission{wanted.model});
   }
 }
@@ -71,10 +71,10 @@
     const ReplicaOrder* order = order_of(replica.model);
     const bool wanted =
         order != nullptr && (order->stage.digest == digest || order->serve.digest == digest);
-    // A live version whose successor is not live yet goes on serving.
+    // A live version continues to serve until its successor is live.
     const bool awaits_successor =
         replica.state == "LIVE" && order != nullptr && order->serve.present();
-    // The engine may be about to serve it: dropping it now would leave nothing serving.
+    // The engine may already be switching to it; dropping it could leave no version in service.
     if (wanted || awaits_successor || replica.activation_ordered) {
       ++iterator;
       continue;
@@ -147,7 +147,7 @@
     found->second.note = reason;
     step(found->second, "activation_failed", actions);
     actions.push_back(StartFetch{model, found->second.version});
-    // The engine still serves what it served before.
+    // The engine still serves the previous version.
     reopen_previous(model, actions);
     return actions;
   }
@@ -169,7 +169,7 @@
     actions.push_back(CloseAdmission{replica.model});
     step(replica, "engine_lost", actions);
     replica.activation_ordered = false;
-    replica.note = "the engine lost its memory";
+    replica.note = "the engine lost the contents of its memory";
   }
   ReplicaActions more = reconcile();
   std::move(more.begin(), more.end(), std::back_inserter(actions));
--- a/src/replica/replica_manager.h
+++ b/src/replica/replica_manager.h
@@ -1,8 +1,8 @@
-/// Brings the replicas of one machine to what its assignment orders.
+/// Reconciles the replicas of one machine with the orders of its assignment.
 ///
-/// A decision core: no I/O. It interprets charts/replica.ini and reconciles after every
-/// event. Promises:
-/// - a version is activated only after every byte of it was verified in the engine;
+/// A decision core: no I/O. Interprets charts/replica.ini and reconciles after every event.
+/// Invariants:
+/// - a version is activated only after all its bytes have been verified in the engine;
 /// - activation waits until no request of the previous version is in progress;
 /// - a live version that is still needed is dropped only after its successor is live.
 #pragma once
@@ -17,7 +17,7 @@
 
 namespace pumicemast {
 
-/// A version of a model by name and content.
+/// A model version, identified by name and content digest.
 struct VersionReference {
   std::string version;  ///< "" for none.
   std::string digest;
@@ -25,7 +25,7 @@
   bool present() const { return !digest.empty(); }
 };
 
-/// What this machine is to hold of one model.
+/// Versions of one model that this machine should stage and serve.
 struct ReplicaOrder {
   std::string model;
   VersionReference stage;
@@ -38,11 +38,11 @@
   std::string model;
   VersionReference version;
   std::string state;
-  std::string note;  ///< Why it is not live, for operators.
+  std::string note;  ///< Reason why it is not live, shown to operators.
   bool activation_ordered = false;
 };
 
-// ---- actions, to be carried out in order ----
+// ---- actions, to be executed in order ----
 struct StartFetch {
   std::string model;
   VersionReference version;
@@ -57,19 +57,19 @@
   std::string model;
   std::string digest;
 };
-/// Fenced order: serve `version`. Answer with on_activated().
+/// Fenced order to serve `version`. The result is reported with on_activated().
 struct ActivateVersion {
   std::string model;
   VersionReference version;
   std::uint64_t fence = 0;
 };
-/// Fenced order: free the memory of a version that does not serve.
+/// Fenced order to free the memory of a version that is not served.
 struct DropVersion {
   std::string model;
   std::string digest;
   std::uint64_t fence = 0;
 };
-/// A replica changed its state; for the log and the next status report.
+/// State change of a replica, for the log and the next status report.
 struct ReplicaChanged {
   std::string model;
   std::string version;
@@ -84,22 +84,22 @@
  public:
   explicit ReplicaManager(const StateChart& chart) : chart_(chart) {}
 
-  /// The whole desired state; models that are missing from it are to be dropped.
+  /// Sets the complete desired state; models that it does not contain are dropped.
   ReplicaActions on_orders(const std::vector<ReplicaOrder>& orders);
-  /// Every byte of `digest` is verified in the engine's staging memory.
+  /// Called when all bytes of `digest` are verified in the engine's staging memory.
   ReplicaActions on_verified(const std::string& digest);
-  /// Answer to ActivateVersion. A failure that says the content is incomplete leads to a
-  /// new fetch.
+  /// Result of ActivateVersion. After a failure, the previous version is served again and the
+  /// failed version is fetched again.
   ReplicaActions on_activated(const std::string& model, const std::string& digest, bool activated,
                               const std::string& reason);
-  /// No request of `model` is in progress at this machine.
+  /// Called when no request of `model` is in progress at this machine.
   ReplicaActions on_idle(const std::string& model);
-  /// The engine restarted: nothing that it held is there any more.
+  /// Called when the engine has restarted and lost the contents of its memory.
   ReplicaActions on_engine_lost();
-  /// Recovery after an agent's restart: the engine serves `digest` already.
+  /// Recovery after a restart of the agent: the engine already serves `version`.
   ReplicaActions on_engine_serves(const std::string& model, const VersionReference& version);
 
-  /// Keyed by digest. Two models may not share a digest at one machine.
+  /// Keyed by digest. Two models must not share a digest on one machine.
   const std::map<std::string, Replica>& replicas() const { return replicas_; }
   const Replica* live(const std::string& model) const;
 
@@ -114,9 +114,9 @@
   const ReplicaOrder* order_of(const std::string& model) const;
 
   const StateChart& chart_;
-  std::map<std::string, ReplicaOrder> orders_;  ///< By model.
+  std::map<std::string, ReplicaOrder> orders_;  ///< Keyed by model.
   std::map<std::string, Replica> replicas_;
-  bool orders_received_ = false;  ///< Nothing is dropped before the first orders arrived.
+  bool orders_received_ = false;  ///< Nothing is dropped before the first orders arrive.
 };
 
 }  // namespace pumicemast
--- a/tests/replica/replica_manager_test.cpp
+++ b/tests/replica/replica_manager_test.cpp
@@ -45,7 +45,7 @@
     CPPUNIT_ASSERT(find_action<CloseAdmission>(order(kFirst, kFirst)) != nullptr);
     const ReplicaActions idle = manager_.on_idle("forms");
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, find_action<ActivateVersion>(idle)->fence);
-    CPPUNIT_ASSERT(manager_.on_idle("forms").empty());  // Ordered once.
+    CPPUNIT_ASSERT(manager_.on_idle("forms").empty());  // The activation is ordered only once.
     const ReplicaActions live = manager_.on_activated("forms", "d1", true, "");
     CPPUNIT_ASSERT_EQUAL(std::string("d1"), find_action<OpenAdmission>(live)->digest);
     CPPUNIT_ASSERT_EQUAL(std::string("d1"), manager_.live("forms")->version.digest);
@@ -94,7 +94,7 @@
   void a_withdrawn_order_reopens_the_previous_version() {
     make_live(kFirst);
     order(kSecond, kSecond);
-    manager_.on_verified("d2");  // Closed; waits for requests.
+    manager_.on_verified("d2");  // Admission is closed until requests have finished.
     const ReplicaActions back = order(kFirst, kFirst);
     CPPUNIT_ASSERT_EQUAL(std::string("d1"), find_action<OpenAdmission>(back)->digest);
     CPPUNIT_ASSERT_EQUAL(std::string("d2"), find_action<DropVersion>(back)->digest);
@@ -106,7 +106,7 @@
     manager_.on_verified("d2");
     manager_.on_idle("forms");
     CPPUNIT_ASSERT(find_action<DropVersion>(order(kFirst, kFirst)) == nullptr);
-    // It went through: the engine serves the second version until it is switched back.
+    // The activation succeeds; the engine serves the second version until it is switched back.
     manager_.on_activated("forms", "d2", true, "");
     const ReplicaActions idle = manager_.on_idle("forms");
     CPPUNIT_ASSERT_EQUAL(std::string("d1"), find_action<ActivateVersion>(idle)->version.digest);
@@ -138,8 +138,8 @@
     CPPUNIT_ASSERT(manager_.live("forms") != nullptr);
   }
 
-  /// Random orders and events: activation only of a version that was verified since the
-  /// engine last lost its memory, and never two versions live.
+  /// Random orders and events. Checks that a version is activated only if it was verified since the
+  /// engine last lost its memory, and that two versions are never live at once.
   void never_activates_an_unverified_version() {
     for (unsigned seed = 1; seed <= 300; ++seed) {
       std::mt19937 random(seed);
