--- a/src/drain/admission_gate.cpp
+++ b/src/drain/admission_gate.cpp
@@ -24,7 +24,7 @@
   assert(gate.in_flight > 0 && in_flight_ > 0);
   --gate.in_flight;
   --in_flight_;
-  note_if_drained();
+  finish_drain_if_idle();
 }
 
 void AdmissionGate::open(const std::string& model, const std::string& digest) {
@@ -40,7 +40,7 @@
   }
   if (state_ == "SERVING") step("stop_planned");
   if (state_ == "REQUESTED") step("stop_admitted");
-  note_if_drained();
+  finish_drain_if_idle();
 }
 
 void AdmissionGate::set_terminating() {
@@ -48,7 +48,7 @@
   set_stop(true);
 }
 
-void AdmissionGate::note_if_drained() {
+void AdmissionGate::finish_drain_if_idle() {
   if (state_ == "DRAINING" && in_flight_ == 0) step("in_flight_zero");
 }
 
--- a/src/drain/admission_gate.h
+++ b/src/drain/admission_gate.h
@@ -48,7 +48,7 @@
     std::uint32_t in_flight = 0;
   };
   void step(const char* event) { state_ = chart_.next(state_, event); }
-  void note_if_drained();
+  void finish_drain_if_idle();
 
   const StateChart& chart_;
   std::uint32_t limit_;
--- a/tests/drain/admission_gate_test.cpp
+++ b/tests/drain/admission_gate_test.cpp
@@ -9,9 +9,9 @@
 class AdmissionGateTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(AdmissionGateTest);
   CPPUNIT_TEST(admits_only_the_version_that_serves);
-  CPPUNIT_TEST(a_stop_refuses_new_work_and_waits_for_the_rest);
+  CPPUNIT_TEST(a_stop_refuses_new_requests_and_waits_for_those_in_progress);
   CPPUNIT_TEST(a_cancelled_stop_serves_again_but_a_terminating_process_does_not);
-  CPPUNIT_TEST(bounds_what_is_in_progress);
+  CPPUNIT_TEST(limits_requests_in_progress);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -26,7 +26,7 @@
     CPPUNIT_ASSERT(AdmissionResult::admitted == gate_.admit("", ""));  // A plain service.
   }
 
-  void a_stop_refuses_new_work_and_waits_for_the_rest() {
+  void a_stop_refuses_new_requests_and_waits_for_those_in_progress() {
     gate_.open("forms", "d1");
     gate_.admit("forms", "");
     gate_.set_stop(true);
@@ -47,7 +47,7 @@
     CPPUNIT_ASSERT(AdmissionResult::draining == gate_.admit("forms", ""));
   }
 
-  void bounds_what_is_in_progress() {
+  void limits_requests_in_progress() {
     gate_.open("forms", "d1");
     gate_.admit("forms", "");
     gate_.admit("", "");
