--- a/src/rollout/rollout_controller.cpp
+++ b/src/rollout/rollout_controller.cpp
@@ -16,9 +16,9 @@
 bool RolloutController::is_lost(const BackendDirectory& directory, const std::string& machine,
                                 TimePoint now) const {
   const Backend* backend = directory.find(machine);
-  const TimePoint gone_since = backend == nullptr ? acquired_at_ : backend->disconnected_at;
+  const TimePoint disconnected_since = backend == nullptr ? acquired_at_ : backend->disconnected_at;
   if (backend != nullptr && backend->connected) return false;
-  return now - std::max(gone_since, acquired_at_) >= options_.replace_after;
+  return now - std::max(disconnected_since, acquired_at_) >= options_.replace_after;
 }
 
 bool RolloutController::is_leaving(const ModelContext& context, const std::string& machine) const {
@@ -27,8 +27,8 @@
   return context.configuration.find<PlannedStop>(machine) != nullptr;
 }
 
-bool RolloutController::has_live(const ModelContext& context, const std::string& machine,
-                                 const std::string& version) const {
+bool RolloutController::has_live_replica(const ModelContext& context, const std::string& machine,
+                                         const std::string& version) const {
   const Backend* backend = context.directory.find(machine);
   if (backend == nullptr || !context.directory.accepts_work(*backend, context.now)) return false;
   const ReplicaView* replica = backend->live_replica(context.rollout.model);
@@ -39,9 +39,10 @@
                                             const Placement& placement) const {
   std::uint32_t count = 0;
   for (const auto& [machine, held] : placement.machines) {
-    if (!has_live(context, machine, "")) continue;
+    if (!has_live_replica(context, machine, "")) continue;
     // A machine that was just ordered to switch still reports its old version.
-    const bool about_to_switch = !held.serve.empty() && !has_live(context, machine, held.serve);
+    const bool about_to_switch =
+        !held.serve.empty() && !has_live_replica(context, machine, held.serve);
     if (!about_to_switch) ++count;
   }
   return count;
@@ -53,7 +54,8 @@
   return std::max(context.target.floor, replicas - allowed);
 }
 
-void RolloutController::remove_lost(const ModelContext& context, Placement& placement) const {
+void RolloutController::remove_lost_machines(const ModelContext& context,
+                                             Placement& placement) const {
   std::erase_if(placement.machines, [&](const auto& entry) {
     return is_lost(context.directory, entry.first, context.now);
   });
@@ -83,7 +85,7 @@
   return bytes;
 }
 
-std::uint32_t RolloutController::wanted_replicas(const ModelContext& context) const {
+std::uint32_t RolloutController::desired_replicas(const ModelContext& context) const {
   const bool switching =
       context.rollout.state == "RUNNING" && !context.rollout.previous_version.empty();
   // A floor as high as the target leaves no replica to switch: one extra goes first.
@@ -96,18 +98,18 @@
   const std::string version_name = context.rollout.model + "@" + context.desired;
   const auto* version = context.configuration.find<ModelVersion>(version_name);
   if (version == nullptr) return;
-  std::uint32_t staying = 0;
+  std::uint32_t remaining = 0;
   std::map<std::string, std::uint32_t> per_zone;
   for (const auto& [machine, held] : placement.machines) {
     if (is_leaving(context, machine)) continue;
-    ++staying;
+    ++remaining;
     const Backend* backend = context.directory.find(machine);
     if (backend != nullptr) ++per_zone[backend->hello.location.zone];
   }
-  const std::uint32_t wanted = wanted_replicas(context);
+  const std::uint32_t wanted = desired_replicas(context);
 
   using Order = std::tuple<std::uint32_t, bool, std::uint64_t, std::string>;
-  while (staying < wanted) {
+  while (remaining < wanted) {
     const Backend* best = nullptr;
     Order best_order;
     for (const auto& [machine, backend] : context.directory.all()) {
@@ -126,37 +128,37 @@
     if (best == nullptr) return;
     placement.machines[best->hello.machine] = {context.desired, context.desired};
     ++per_zone[best->hello.location.zone];
-    ++staying;
+    ++remaining;
   }
 }
 
 void RolloutController::remove_surplus(const ModelContext& context, Placement& placement) const {
-  std::vector<std::string> staying;
+  std::vector<std::string> remaining;
   for (const auto& [machine, held] : placement.machines) {
-    if (!is_leaving(context, machine)) staying.push_back(machine);
+    if (!is_leaving(context, machine)) remaining.push_back(machine);
   }
   const bool settled = context.rollout.state == "COMPLETED" || context.rollout.state == "ABORTED";
-  while (staying.size() > wanted_replicas(context)) {
+  while (remaining.size() > desired_replicas(context)) {
     // Those without a live replica first, then from the fullest zone.
     std::map<std::string, std::uint32_t> per_zone;
-    for (const std::string& machine : staying) {
+    for (const std::string& machine : remaining) {
       const Backend* backend = context.directory.find(machine);
       if (backend != nullptr) ++per_zone[backend->hello.location.zone];
     }
     const auto removal_order = [&](const std::string& machine) {
       const Backend* backend = context.directory.find(machine);
       const std::uint32_t zone = backend == nullptr ? 0 : per_zone[backend->hello.location.zone];
-      return std::tuple(!has_live(context, machine, ""), zone, machine);
+      return std::tuple(!has_live_replica(context, machine, ""), zone, machine);
     };
-    const auto victim =
-        std::max_element(staying.begin(), staying.end(), [&](const auto& left, const auto& right) {
-          return removal_order(left) < removal_order(right);
-        });
-    const bool is_live = has_live(context, *victim, "");
+    const auto surplus = std::max_element(remaining.begin(), remaining.end(),
+                                          [&](const auto& left, const auto& right) {
+                                            return removal_order(left) < removal_order(right);
+                                          });
+    const bool is_live = has_live_replica(context, *surplus, "");
     if (is_live && !settled) return;  // The surge replica goes once the rollout is over.
     if (is_live && live_count(context, placement) <= context.target.replicas) return;
-    placement.machines.erase(*victim);
-    staying.erase(victim);
+    placement.machines.erase(*surplus);
+    remaining.erase(surplus);
   }
 }
 
@@ -170,7 +172,7 @@
   std::uint32_t live = live_count(context, placement);
   for (auto& [machine, held] : placement.machines) {
     if (held.serve == context.desired) continue;
-    const bool serves_now = has_live(context, machine, "");
+    const bool serves_now = has_live_replica(context, machine, "");
     if (!serves_now) {
       // Nothing is lost by ordering it; the agent serves once it has verified all bytes.
       const Backend* backend = context.directory.find(machine);
@@ -199,7 +201,8 @@
   bool all_desired = true;
   for (const auto& [machine, held] : placement.machines) {
     if (is_leaving(context, machine)) continue;
-    const bool is_live = !context.desired.empty() && has_live(context, machine, context.desired);
+    const bool is_live =
+        !context.desired.empty() && has_live_replica(context, machine, context.desired);
     if (is_live) ++live;
     all_desired = all_desired && is_live;
   }
@@ -219,19 +222,19 @@
                                      TimePoint now, ControllerActions& actions) {
   const auto* target = configuration.find<ReplicaTarget>(rollout.value.model);
   if (target == nullptr) return;
-  const bool backwards = rollout.value.state == "ABORTING" || rollout.value.state == "ABORTED";
+  const bool reverting = rollout.value.state == "ABORTING" || rollout.value.state == "ABORTED";
   const ModelContext context{configuration,
                              directory,
                              rollout.value,
                              target->value,
-                             backwards ? rollout.value.previous_version : rollout.value.version,
+                             reverting ? rollout.value.previous_version : rollout.value.version,
                              now};
 
   const auto* stored = configuration.find<Placement>(rollout.value.model);
   Placement placement;
   if (stored != nullptr) placement = stored->value;
   placement.model = rollout.value.model;
-  remove_lost(context, placement);
+  remove_lost_machines(context, placement);
   remove_finished_stops(context, placement);
   add_machines(context, placement);
   remove_surplus(context, placement);
@@ -239,7 +242,7 @@
   if (context.desired.empty()) {
     // Machines that have dropped everything leave the placement.
     std::erase_if(placement.machines,
-                  [&](const auto& entry) { return !has_live(context, entry.first, ""); });
+                  [&](const auto& entry) { return !has_live_replica(context, entry.first, ""); });
   }
   placement.paused = rollout.value.state == "PAUSED";
   placement.fence = term;
@@ -263,15 +266,15 @@
                                      const BackendDirectory& directory, TimePoint now,
                                      ControllerActions& actions) {
   // Stops that are admitted in this very decision, so that two cannot share one spare replica.
-  std::map<std::string, std::uint32_t> taken;
+  std::map<std::string, std::uint32_t> admitted_stops;
   for (const auto& [machine, object] : configuration.all<PlannedStop>()) {
     PlannedStop stop = object.value;
     const Backend* backend = directory.find(machine);
     if (stop.state == "DRAINING") {
-      const bool gone = is_lost(directory, machine, now);
-      if (gone || (backend != nullptr && backend->connected && backend->status.drained)) {
+      const bool lost = is_lost(directory, machine, now);
+      if (lost || (backend != nullptr && backend->connected && backend->status.drained)) {
         stop.state = drain_chart_.next(stop.state, "in_flight_zero");
-        stop.note = gone ? "the machine is gone" : "";
+        stop.note = lost ? "the machine is gone" : "";
       }
     }
     if (stop.state == "REQUESTED") {
@@ -285,13 +288,14 @@
           if (other_name == machine || stopping || !directory.accepts_work(other, now)) continue;
           if (other.live_replica(model) != nullptr) ++live;
         }
-        if (live < target.value.floor + taken[model]) blocker = model;
+        if (live < target.value.floor + admitted_stops[model]) blocker = model;
       }
       if (blocker.empty() || stop.force) {
         stop.state = drain_chart_.next(stop.state, "stop_admitted");
         stop.note.clear();
         for (const auto& [model, target] : configuration.all<ReplicaTarget>()) {
-          if (backend != nullptr && backend->live_replica(model) != nullptr) ++taken[model];
+          if (backend != nullptr && backend->live_replica(model) != nullptr)
+            ++admitted_stops[model];
         }
       } else {
         stop.note = "waits: fewer live replicas of " + blocker + " than its floor would be left";
--- a/src/rollout/rollout_controller.h
+++ b/src/rollout/rollout_controller.h
@@ -75,12 +75,12 @@
 
   bool is_lost(const BackendDirectory& directory, const std::string& machine, TimePoint now) const;
   bool is_leaving(const ModelContext& context, const std::string& machine) const;
-  bool has_live(const ModelContext& context, const std::string& machine,
-                const std::string& version) const;
+  bool has_live_replica(const ModelContext& context, const std::string& machine,
+                        const std::string& version) const;
   std::uint32_t live_count(const ModelContext& context, const Placement& placement) const;
   std::uint32_t required_live(const ModelContext& context) const;
-  std::uint32_t wanted_replicas(const ModelContext& context) const;
-  void remove_lost(const ModelContext& context, Placement& placement) const;
+  std::uint32_t desired_replicas(const ModelContext& context) const;
+  void remove_lost_machines(const ModelContext& context, Placement& placement) const;
   void remove_finished_stops(const ModelContext& context, Placement& placement) const;
   void add_machines(const ModelContext& context, Placement& placement) const;
   void remove_surplus(const ModelContext& context, Placement& placement) const;
--- a/tests/rollout/rollout_controller_test.cpp
+++ b/tests/rollout/rollout_controller_test.cpp
@@ -14,9 +14,9 @@
 constexpr char kModel[] = "forms";
 
 /// A fleet in miniature: stored objects, agents that obey their placement step by step.
-class MiniatureFleet {
+class ScriptedFleet {
  public:
-  explicit MiniatureFleet(std::uint32_t machines, unsigned seed = 1) : random_(seed) {
+  explicit ScriptedFleet(std::uint32_t machines, unsigned seed = 1) : random_(seed) {
     for (std::uint32_t index = 0; index < machines; ++index) {
       const std::string name = "m" + std::to_string(index);
       directory_.on_hello(tests::hello(name, "z" + std::to_string(index % 3)), now_);
@@ -52,9 +52,9 @@
   }
 
   /// Some agents move one step towards their placement and report.
-  void agents_step(unsigned one_in = 1) {
+  void step_agents(unsigned one_in = 1) {
     for (const auto& [name, backend] : directory_.all()) {
-      if (backend.connected && random_() % one_in == 0) advance(name);
+      if (backend.connected && random_() % one_in == 0) step_agent(name);
     }
   }
 
@@ -62,7 +62,7 @@
     for (int step = 0; step < steps; ++step) {
       now_ += milliseconds(200);
       decide();
-      agents_step();
+      step_agents();
     }
   }
 
@@ -77,7 +77,7 @@
   }
 
   void kill(const std::string& machine) { directory_.on_disconnected(machine, now_); }
-  void pass(Duration time) {
+  void advance_time(Duration time) {
     now_ += time;
     for (const auto& [name, backend] : directory_.all()) {
       if (backend.connected) report(name);
@@ -104,7 +104,7 @@
     configuration_.apply_events(revision_, {object});
   }
 
-  void advance(const std::string& name) {
+  void step_agent(const std::string& name) {
     Agent& agent = agents_[name];
     MachinePlacement held;
     if (const auto* placement = configuration_.find<Placement>(kModel)) {
@@ -176,13 +176,13 @@
   CPPUNIT_TEST(a_new_term_gives_known_machines_time_to_connect);
   CPPUNIT_TEST(a_stop_waits_for_the_floor_and_for_its_replacement);
   CPPUNIT_TEST(two_stops_cannot_share_one_spare_replica);
-  CPPUNIT_TEST(places_nothing_where_memory_is_missing);
+  CPPUNIT_TEST(places_nothing_without_enough_memory);
   CPPUNIT_TEST(never_falls_below_the_floor_in_random_histories);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void spreads_a_first_rollout_over_the_zones() {
-    MiniatureFleet fleet(9);
+    ScriptedFleet fleet(9);
     start(fleet, 6, 2);
     CPPUNIT_ASSERT_EQUAL(std::string("COMPLETED"), fleet.state());
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{6}, fleet.live("v1"));
@@ -194,12 +194,12 @@
   }
 
   void switches_within_the_unavailability_limit() {
-    MiniatureFleet fleet(6);
+    ScriptedFleet fleet(6);
     start(fleet, 6, 2);
     fleet.put(rollout("v2", "v1", 2));
     for (int step = 0; step < 60; ++step) {
       fleet.decide();
-      fleet.agents_step(3);
+      fleet.step_agents(3);
       std::uint32_t switching = 0;
       for (const auto& [machine, held] : fleet.placement().machines) {
         if (held.serve == "v2") ++switching;
@@ -212,7 +212,7 @@
   }
 
   void surges_when_the_floor_is_the_target() {
-    MiniatureFleet fleet(4);
+    ScriptedFleet fleet(4);
     start(fleet, 3, 3);
     fleet.put(rollout("v2", "v1", 1));
     std::uint32_t lowest = 3;
@@ -226,7 +226,7 @@
   }
 
   void aborts_back_to_the_previous_version() {
-    MiniatureFleet fleet(4);
+    ScriptedFleet fleet(4);
     start(fleet, 4, 1);
     fleet.put(rollout("v2", "v1", 1));
     fleet.settle(4);
@@ -239,7 +239,7 @@
   }
 
   void a_paused_rollout_switches_nothing() {
-    MiniatureFleet fleet(4);
+    ScriptedFleet fleet(4);
     start(fleet, 4, 1);
     Rollout paused = rollout("v2", "v1", 1);
     paused.state = "PAUSED";
@@ -250,36 +250,36 @@
   }
 
   void replaces_a_dead_machine_after_the_grace_period() {
-    MiniatureFleet fleet(4);
+    ScriptedFleet fleet(4);
     start(fleet, 3, 1);
-    const std::string victim = fleet.placement().machines.begin()->first;
-    fleet.kill(victim);
-    fleet.pass(seconds(5));
+    const std::string killed = fleet.placement().machines.begin()->first;
+    fleet.kill(killed);
+    fleet.advance_time(seconds(5));
     fleet.settle(1);
-    CPPUNIT_ASSERT(fleet.placement().machines.contains(victim));
-    fleet.pass(seconds(6));
+    CPPUNIT_ASSERT(fleet.placement().machines.contains(killed));
+    fleet.advance_time(seconds(6));
     fleet.settle();
-    CPPUNIT_ASSERT(!fleet.placement().machines.contains(victim));
+    CPPUNIT_ASSERT(!fleet.placement().machines.contains(killed));
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{3}, fleet.live("v1"));
   }
 
   void a_new_term_gives_known_machines_time_to_connect() {
-    MiniatureFleet fleet(4);
+    ScriptedFleet fleet(4);
     start(fleet, 3, 1);
-    const std::string victim = fleet.placement().machines.begin()->first;
-    fleet.kill(victim);
-    fleet.pass(seconds(60));
+    const std::string killed = fleet.placement().machines.begin()->first;
+    fleet.kill(killed);
+    fleet.advance_time(seconds(60));
     fleet.new_term();
     fleet.decide();
-    CPPUNIT_ASSERT(fleet.placement().machines.contains(victim));
+    CPPUNIT_ASSERT(fleet.placement().machines.contains(killed));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, fleet.placement().fence);
-    fleet.pass(seconds(11));
+    fleet.advance_time(seconds(11));
     fleet.decide();
-    CPPUNIT_ASSERT(!fleet.placement().machines.contains(victim));
+    CPPUNIT_ASSERT(!fleet.placement().machines.contains(killed));
   }
 
   void a_stop_waits_for_the_floor_and_for_its_replacement() {
-    MiniatureFleet fleet(3);
+    ScriptedFleet fleet(3);
     start(fleet, 2, 2);
     const std::string stopping = fleet.placement().machines.begin()->first;
     fleet.put(PlannedStop{stopping, "REQUESTED", "", false, "me"});
@@ -293,7 +293,7 @@
   }
 
   void two_stops_cannot_share_one_spare_replica() {
-    MiniatureFleet fleet(3);
+    ScriptedFleet fleet(3);
     start(fleet, 3, 2);
     for (const char* machine : {"m0", "m1"}) {
       fleet.put(PlannedStop{machine, "REQUESTED", "", false, "me"});
@@ -307,8 +307,8 @@
     CPPUNIT_ASSERT_EQUAL(std::string("DRAINED"), fleet.get<PlannedStop>("m1").state);
   }
 
-  void places_nothing_where_memory_is_missing() {
-    MiniatureFleet fleet(2);
+  void places_nothing_without_enough_memory() {
+    ScriptedFleet fleet(2);
     fleet.put(ModelVersion{kModel, "huge", "digest-huge", 2000, 1});
     fleet.put(ReplicaTarget{kModel, 2, 0});
     fleet.put(rollout("huge", ""));
@@ -321,7 +321,7 @@
   void never_falls_below_the_floor_in_random_histories() {
     for (unsigned seed = 1; seed <= 60; ++seed) {
       std::mt19937 random(seed);
-      MiniatureFleet fleet(8, seed);
+      ScriptedFleet fleet(8, seed);
       start(fleet, 5, 3);
       CPPUNIT_ASSERT_EQUAL(std::uint32_t{5}, fleet.live());
       std::string serving = "v1";
@@ -338,7 +338,7 @@
           }
         }
         fleet.decide();
-        fleet.agents_step(1 + random() % 4);
+        fleet.step_agents(1 + random() % 4);
         CPPUNIT_ASSERT_MESSAGE("seed " + std::to_string(seed) + " step " + std::to_string(step),
                                fleet.live() >= 3);
       }
@@ -346,7 +346,7 @@
   }
 
  private:
-  static void start(MiniatureFleet& fleet, std::uint32_t replicas, std::uint32_t floor) {
+  static void start(ScriptedFleet& fleet, std::uint32_t replicas, std::uint32_t floor) {
     fleet.put(ReplicaTarget{kModel, replicas, floor});
     fleet.put(rollout("v1", ""));
     fleet.settle();
