--- a/src/drain/admission_gate.h
+++ b/src/drain/admission_gate.h
@@ -1,8 +1,8 @@
-/// Admits or refuses work at a back end, and knows when a planned stop has finished.
+/// Admits or refuses requests at a back end and tracks the drain of a planned stop.
 ///
-/// A decision core: no I/O. This is the last gate: entries learn of a stop or a switch of
-/// versions some time after the machine does, and what they still send is refused here as
-/// not run. Nothing admitted is ever cut off by the gate.
+/// A decision core: no I/O. This is the last check before a request runs: entries learn of a stop
+/// or a change of version later than the machine, and requests that they still send are refused
+/// here as not run. The gate never interrupts an admitted request.
 #pragma once
 
 #include <cstdint>
@@ -18,22 +18,22 @@
 class AdmissionGate {
  public:
   /// @param chart  charts/drain.ini
-  /// @param limit  requests that may be in progress at once.
+  /// @param limit  maximum number of requests in progress.
   AdmissionGate(const StateChart& chart, std::uint32_t limit);
 
-  /// Asks for one request of `model` ("" for a plain service). With a `digest`, only while
-  /// that version serves. Every admitted request must be finished.
+  /// Requests admission of one request of `model` ("" for a plain service). With a `digest`, it is
+  /// admitted only while that version is served. Call finish() for every admitted request.
   AdmissionResult admit(const std::string& model, const std::string& digest);
   void finish(const std::string& model);
 
-  /// `model` is served from `digest` from now on.
+  /// Admits requests of `model`, which is served from `digest`.
   void open(const std::string& model, const std::string& digest);
-  /// No new request of `model`; those in progress go on.
+  /// Refuses new requests of `model`; requests in progress continue.
   void close(const std::string& model);
 
-  /// A planned stop is in force, or is no longer.
+  /// Starts draining for a planned stop, or cancels it.
   void set_stop(bool stop);
-  /// The process was told to end: like a stop that cannot be cancelled.
+  /// Starts a drain that cannot be cancelled, because the process is terminating.
   void set_terminating();
 
   bool draining() const { return state_ != "SERVING"; }
@@ -44,7 +44,7 @@
 
  private:
   struct ModelGate {
-    std::string digest;  ///< "" while closed.
+    std::string digest;  ///< "" while admission is closed.
     std::uint32_t in_flight = 0;
   };
   void step(const char* event) { state_ = chart_.next(state_, event); }
