--- a/src/rollout/rollout_controller.cpp
+++ b/src/rollout/rollout_controller.cpp
@@ -40,7 +40,7 @@
   std::uint32_t count = 0;
   for (const auto& [machine, held] : placement.machines) {
     if (!has_live_replica(context, machine, "")) continue;
-    // A machine that was just ordered to switch still reports its old version.
+    // A machine that has been ordered to switch may still report its old version.
     const bool about_to_switch =
         !held.serve.empty() && !has_live_replica(context, machine, held.serve);
     if (!about_to_switch) ++count;
@@ -88,7 +88,7 @@
 std::uint32_t RolloutController::desired_replicas(const ModelContext& context) const {
   const bool switching =
       context.rollout.state == "RUNNING" && !context.rollout.previous_version.empty();
-  // A floor as high as the target leaves no replica to switch: one extra goes first.
+  // If all replicas must stay live, none can be switched; one additional replica is placed first.
   const bool needs_surge = switching && required_live(context) >= context.target.replicas;
   return context.target.replicas + (needs_surge ? 1 : 0);
 }
@@ -139,7 +139,7 @@
   }
   const bool settled = context.rollout.state == "COMPLETED" || context.rollout.state == "ABORTED";
   while (remaining.size() > desired_replicas(context)) {
-    // Those without a live replica first, then from the fullest zone.
+    // Removes machines without a live replica first, then machines of the zone with the most.
     std::map<std::string, std::uint32_t> per_zone;
     for (const std::string& machine : remaining) {
       const Backend* backend = context.directory.find(machine);
@@ -155,7 +155,7 @@
                                             return removal_order(left) < removal_order(right);
                                           });
     const bool is_live = has_live_replica(context, *surplus, "");
-    if (is_live && !settled) return;  // The surge replica goes once the rollout is over.
+    if (is_live && !settled) return;  // The additional replica is kept until the rollout ends.
     if (is_live && live_count(context, placement) <= context.target.replicas) return;
     placement.machines.erase(*surplus);
     remaining.erase(surplus);
@@ -174,7 +174,7 @@
     if (held.serve == context.desired) continue;
     const bool serves_now = has_live_replica(context, machine, "");
     if (!serves_now) {
-      // Nothing is lost by ordering it; the agent serves once it has verified all bytes.
+      // The order takes no live replica away; the agent serves after it has verified all bytes.
       const Backend* backend = context.directory.find(machine);
       if (held.serve.empty() || (backend != nullptr && backend->connected)) {
         held.serve = context.desired;
@@ -240,7 +240,7 @@
   remove_surplus(context, placement);
   advance_versions(context, placement);
   if (context.desired.empty()) {
-    // Machines that have dropped everything leave the placement.
+    // Machines without a live replica are removed from the placement.
     std::erase_if(placement.machines,
                   [&](const auto& entry) { return !has_live_replica(context, entry.first, ""); });
   }
@@ -252,7 +252,7 @@
                        stored->value.fence != placement.fence;
   if (changed) {
     actions.push_back(WritePlacement{placement, stored == nullptr ? 0 : stored->version});
-    return;  // The rollout's state is judged by the placement that is in force.
+    return;  // The rollout's state is derived only from a placement that is stored.
   }
   const std::string state = rollout_state(context, placement);
   if (state != rollout.value.state) {
@@ -265,7 +265,7 @@
 void RolloutController::decide_stops(const ConfigurationStore& configuration,
                                      const BackendDirectory& directory, TimePoint now,
                                      ControllerActions& actions) {
-  // Stops that are admitted in this very decision, so that two cannot share one spare replica.
+  // Replicas of stops admitted in this decision, so that two stops cannot use one spare replica.
   std::map<std::string, std::uint32_t> admitted_stops;
   for (const auto& [machine, object] : configuration.all<PlannedStop>()) {
     PlannedStop stop = object.value;
@@ -274,7 +274,7 @@
       const bool lost = is_lost(directory, machine, now);
       if (lost || (backend != nullptr && backend->connected && backend->status.drained)) {
         stop.state = drain_chart_.next(stop.state, "in_flight_zero");
-        stop.note = lost ? "the machine is gone" : "";
+        stop.note = lost ? "the machine was lost" : "";
       }
     }
     if (stop.state == "REQUESTED") {
@@ -298,7 +298,7 @@
             ++admitted_stops[model];
         }
       } else {
-        stop.note = "waits: fewer live replicas of " + blocker + " than its floor would be left";
+        stop.note = "waiting: fewer live replicas of " + blocker + " than its floor would remain";
       }
     }
     if (stop.state != object.value.state || stop.note != object.value.note) {
--- a/src/rollout/rollout_controller.h
+++ b/src/rollout/rollout_controller.h
@@ -1,13 +1,16 @@
-/// Decides which machine holds and serves which version of which model.
+/// Decides which machines stage and serve which model versions.
 ///
-/// A decision core: no I/O. Only the holder of the controller lease runs it; its decisions
-/// are conditional writes that carry the lease's term. It keeps no state that matters: a
-/// new holder decides the same from the stored objects and the agents' reports.
+/// A decision core: no I/O. Only the holder of the controller lease runs it. Its decisions are
+/// conditional writes, and placements carry the lease's term as fence. It keeps no state apart from
+/// the time at which the lease was acquired: a new holder decides from the stored objects and the
+/// agents' reports.
 ///
 /// Invariants:
-/// - a switch of versions or a planned stop is begun only while it leaves at least
-///   max(floor, target - max_unavailable) live replicas;
-/// - a machine is ordered to serve a version only when it has none live, or has verified it.
+/// - a machine is ordered to switch versions only if at least
+///   max(floor, target - max_unavailable) live replicas remain;
+/// - a planned stop starts only if at least floor live replicas of each model remain, unless it is
+///   forced;
+/// - a machine is ordered to serve a version only if it has no live version or has verified it.
 #pragma once
 
 #include <cstdint>
@@ -23,7 +26,7 @@
 namespace pumicemast {
 
 struct RolloutControllerOptions {
-  /// A machine that was gone for so long is replaced.
+  /// Time for which a machine may be disconnected before it is replaced.
   Duration replace_after = seconds(10);
 };
 
@@ -49,15 +52,15 @@
                     RolloutControllerOptions options)
       : rollout_chart_(rollout_chart), drain_chart_(drain_chart), options_(options) {}
 
-  /// This process took the lease at `now`; machines not seen yet get a grace period.
+  /// Called when this process acquired the lease. Disconnected machines get a new grace period.
   void on_lease_acquired(TimePoint now) { acquired_at_ = now; }
-  /// Compares what is with what should be and returns the writes that move it on.
+  /// Compares the actual with the desired state and returns the writes that bring them closer.
   /// @param term  the lease's term, stored as the fence of each placement.
   ControllerActions decide(const ConfigurationStore& configuration,
                            const BackendDirectory& directory, std::uint64_t term, TimePoint now);
 
  private:
-  /// Everything one decision about one model looks at.
+  /// Inputs of a decision about one model.
   struct ModelContext {
     const ConfigurationStore& configuration;
     const BackendDirectory& directory;
--- a/tests/rollout/rollout_controller_test.cpp
+++ b/tests/rollout/rollout_controller_test.cpp
@@ -13,7 +13,7 @@
 
 constexpr char kModel[] = "forms";
 
-/// A fleet in miniature: stored objects, agents that obey their placement step by step.
+/// Test fleet with stored objects and agents that follow their placement step by step.
 class ScriptedFleet {
  public:
   explicit ScriptedFleet(std::uint32_t machines, unsigned seed = 1) : random_(seed) {
@@ -38,7 +38,7 @@
     return configuration_.find<PlannedStop>(machine) != nullptr;
   }
 
-  /// One decision; all its writes are applied.
+  /// Makes one decision and applies all its writes.
   void decide() {
     const ControllerActions actions = controller_.decide(configuration_, directory_, term_, now_);
     for (const ControllerAction& action : actions) {
@@ -51,7 +51,8 @@
     directory_.on_planned_stops(stopping);
   }
 
-  /// Some agents move one step towards their placement and report.
+  /// Each connected agent, with probability 1/one_in, takes a step towards its placement and
+  /// reports.
   void step_agents(unsigned one_in = 1) {
     for (const auto& [name, backend] : directory_.all()) {
       if (backend.connected && random_() % one_in == 0) step_agent(name);
@@ -120,7 +121,7 @@
         agent.live = held.serve;
         agent.staged.clear();
       } else {
-        agent.staged = held.serve;  // Fetched and verified in one step.
+        agent.staged = held.serve;  // Fetching and verification take one step.
       }
     } else if (!held.stage.empty() && held.stage != agent.live) {
       agent.staged = held.stage;
@@ -316,8 +317,8 @@
     CPPUNIT_ASSERT(fleet.placement().machines.empty());
   }
 
-  /// Deaths, stops, supersessions and lagging agents: planned changes alone never take the
-  /// live replicas below the floor.
+  /// Random stops, superseding rollouts and lagging agents. Checks that planned changes alone never
+  /// reduce the live replicas below the floor.
   void never_falls_below_the_floor_in_random_histories() {
     for (unsigned seed = 1; seed <= 60; ++seed) {
       std::mt19937 random(seed);
