--- a/src/experiment/burst_experiment.cpp
+++ b/src/experiment/burst_experiment.cpp
@@ -33,7 +33,7 @@
     settings.swarm.origin_timeout = std::chrono::hours(24);
     settings.swarm.subscription_timeout = std::chrono::hours(24);
     settings.swarm.takeover_interval = std::chrono::hours(24);
-    settings.time_limit_share = 10.0 * settings.machines;
+    settings.time_limit_factor = 10.0 * settings.machines;
   }
   if (strategy == Strategy::random) settings.swarm.pick_policy = PickPolicy::random;
   return settings;
@@ -67,7 +67,7 @@
   figures.add("time_to_all_live", time_to_share(result, 1), "s");
   figures.add("time_to_half_live_ratio", time_to_share(result, 0.5) / bound_s, "x");
   figures.add("time_to_all_live_ratio", time_to_share(result, 1) / bound_s, "x");
-  const auto faults = simulation::FaultSchedule::draw(settings);
+  const auto faults = simulation::FaultSchedule::generate(settings);
   const double blocked_s = faults.blocked_bound_s(settings, result.survived);
   figures.add("blocked_bound", blocked_s, "s");
   figures.add("time_to_all_live_over_blocked_bound", time_to_share(result, 1) / blocked_s, "x");
--- a/src/simulation/burst_planner.cpp
+++ b/src/simulation/burst_planner.cpp
@@ -8,7 +8,7 @@
 
 /// Share of the request window that on average is still on its way when the last chunks are
 /// handed out. Measured on experiments/burst-330.ini (docs/design/swarm.md).
-constexpr double kTailWindowShare = 0.5;
+constexpr double kTailWindowFraction = 0.5;
 
 std::string limiting_link(const BurstSettings& settings) {
   const double bytes = static_cast<double>(settings.model_bytes);
@@ -39,7 +39,7 @@
   // The first chunk doubles its holders with every hop until all uplinks have work.
   const double start_s = chunk / network.origin_bytes_per_second +
                          std::log2(per_region + 1) * hop_s + (settings.regions > 1 ? chunk_s : 0);
-  const double tail_s = kTailWindowShare * settings.swarm.window * chunk_s;
+  const double tail_s = kTailWindowFraction * settings.swarm.window * chunk_s;
   plan.bound_s = settings.bound_s(settings.machines);
   if (network.region_ingress_bytes_per_second > 0 && settings.regions > 1) {
     plan.bound_s = std::max(plan.bound_s, static_cast<double>(settings.model_bytes) /
--- a/src/simulation/burst_settings.cpp
+++ b/src/simulation/burst_settings.cpp
@@ -54,15 +54,15 @@
 }
 
 void read_faults(Settings& settings, FaultSettings& faults) {
-  const auto share = [&](const char* key) { return settings.number_or("faults", key, 0, 0, 1); };
-  faults.deaths_per_minute = share("deaths_per_minute");
-  faults.stall_share = share("stall_share");
+  const auto fraction = [&](const char* key) { return settings.number_or("faults", key, 0, 0, 1); };
+  faults.deaths_per_minute = fraction("deaths_per_minute");
+  faults.stall_fraction = fraction("stall_share");
   faults.stall_duration =
       settings.milliseconds_or("faults", "stall_duration_ms", 30000, {1, 3600000});
-  faults.corrupt_share = share("corrupt_share");
-  faults.region_cut_share = share("region_cut_share");
-  faults.api_down_share = share("api_down_share");
-  faults.corrupting_peers = share("corrupting_peers");
+  faults.corrupt_fraction = fraction("corrupt_share");
+  faults.region_isolation_fraction = fraction("region_cut_share");
+  faults.api_down_fraction = fraction("api_down_share");
+  faults.corrupting_peers = fraction("corrupting_peers");
 }
 
 }  // namespace
@@ -99,7 +99,7 @@
   read_network(settings, result);
   read_swarm(settings, result);
   read_faults(settings, result.faults);
-  result.supersede.at_share = settings.number_or("supersede", "at_share", 0, 0, 10);
+  result.supersede.at_fraction = settings.number_or("supersede", "at_share", 0, 0, 10);
   result.supersede.shared_chunks = settings.number_or("supersede", "shared_chunks", 0.5, 0, 1);
   const std::string strategy = settings.choice(
       "rollout", "strategy", {"swarm", "origin_only", "tree", "pipeline", "random"});
@@ -108,7 +108,7 @@
     if (strategy == to_string(candidate)) result.strategy = candidate;
   }
   result.seed = static_cast<std::uint64_t>(settings.integer_or("run", "seed", 1, {0, INT64_MAX}));
-  result.time_limit_share = settings.number_or("run", "time_limit_share", 20, 0.1, 10000);
+  result.time_limit_factor = settings.number_or("run", "time_limit_share", 20, 0.1, 10000);
   return result;
 }
 
--- a/src/simulation/burst_settings.h
+++ b/src/simulation/burst_settings.h
@@ -15,17 +15,17 @@
 
 struct FaultSettings {
   double deaths_per_minute = 0;  ///< Share of the machines.
-  double stall_share = 0;        ///< Share of the machines whose link stalls once.
+  double stall_fraction = 0;     ///< Share of the machines whose link stalls once.
   Duration stall_duration = seconds(30);
-  double corrupt_share = 0;  ///< Share of the chunks that arrive corrupt.
+  double corrupt_fraction = 0;  ///< Share of the chunks that arrive corrupt.
   // Shares of the run, which is the fluid bound of the fleet without faults.
-  double region_cut_share = 0;  ///< How long one region is cut off.
-  double api_down_share = 0;    ///< How long the object API is down.
-  double corrupting_peers = 0;  ///< Share of machines that send only corrupt chunks.
+  double region_isolation_fraction = 0;  ///< How long one region is cut off.
+  double api_down_fraction = 0;          ///< How long the object API is down.
+  double corrupting_peers = 0;           ///< Share of machines that send only corrupt chunks.
 };
 
 struct SupersedeSettings {
-  double at_share = 0;         ///< Of the allowed time; 0 for never.
+  double at_fraction = 0;      ///< Of the allowed time; 0 for never.
   double shared_chunks = 0.5;  ///< Share of chunks that the next version has in common.
 };
 
@@ -45,7 +45,7 @@
   FaultSettings faults;
   SupersedeSettings supersede;
   std::uint64_t seed = 1;
-  double time_limit_share = 20;  ///< Gives up after this many times the allowed time.
+  double time_limit_factor = 20;  ///< Gives up after this many times the allowed time.
 
   static BurstSettings read(Settings& settings);
 
--- a/src/simulation/burst_simulation.cpp
+++ b/src/simulation/burst_simulation.cpp
@@ -11,9 +11,9 @@
 
 constexpr char kModel[] = "model";
 /// How long the entries take to see that a machine died.
-constexpr Duration kDeathSeenAfter = seconds(3);
+constexpr Duration kDeathDetectionDelay = seconds(3);
 /// Orders reach the agents within this time of being accepted.
-constexpr std::int64_t kOrderSpreadUs = 50000;
+constexpr std::int64_t kMaximumOrderDelayUs = 50000;
 constexpr Duration kIdleTick = seconds(1);
 constexpr int kSamplesPerAllowedTime = 100;
 
@@ -22,7 +22,7 @@
 std::uint32_t version_of(const std::string& digest) { return digest == digest_of(0) ? 0 : 1; }
 
 /// By chunk, whether both versions have the same bytes there.
-std::vector<bool> draw_shared_chunks(const BurstSettings& settings, std::mt19937_64& random) {
+std::vector<bool> choose_shared_chunks(const BurstSettings& settings, std::mt19937_64& random) {
   std::vector<bool> shared(settings.chunk_count());
   std::bernoulli_distribution is_shared(settings.supersede.shared_chunks);
   for (ChunkIndex chunk = 0; chunk < settings.chunk_count(); ++chunk) {
@@ -37,24 +37,24 @@
     : settings_(settings),
       replica_chart_(replica_chart),
       random_(settings_.seed),
-      faults_(FaultSchedule::draw(settings_)),
-      weights_(settings_, draw_shared_chunks(settings_, random_)),
+      faults_(FaultSchedule::generate(settings_)),
+      weights_(settings_, choose_shared_chunks(settings_, random_)),
       traffic_(settings_, faults_, weights_, machines_, events_, random_,
                {[this](MachineNumber machine, std::uint32_t version) {
                   on_swarm_complete(machine, version);
                 },
-                [this](MachineNumber machine) { remember("avoided", machine); }}),
-      end_(TimePoint(from_seconds(settings_.allowed_s * settings_.time_limit_share))) {
-  const std::vector<MachinePlace> places = place_machines(settings_);
+                [this](MachineNumber machine) { record_event("avoided", machine); }}),
+      end_(TimePoint(from_seconds(settings_.allowed_s * settings_.time_limit_factor))) {
+  const std::vector<MachineLocation> locations = assign_locations(settings_);
   for (MachineNumber machine = 0; machine < settings_.machines; ++machine) {
     auto added = std::make_unique<SimulatedMachine>(replica_chart_);
     added->id = stable_hash(std::uint64_t{machine}, settings_.seed);
-    added->place = places[machine];
+    added->location = locations[machine];
     machines_.push_back(std::move(added));
     traffic_.add_machine(machine);
   }
   alive_ = settings_.machines;
-  membership_ = living_members();
+  membership_ = alive_members();
 }
 
 BurstSimulation::~BurstSimulation() = default;
@@ -64,12 +64,13 @@
 BurstResult BurstSimulation::run() {
   schedule_faults();
   for (MachineNumber machine = 0; machine < settings_.machines; ++machine) {
-    const Duration delay(static_cast<Duration::rep>(random_() % kOrderSpreadUs));
+    const Duration delay(static_cast<Duration::rep>(random_() % kMaximumOrderDelayUs));
     events_.schedule_in(delay, [this, machine] { order(machine, 0); });
   }
-  if (settings_.supersede.at_share > 0) {
-    events_.schedule_at(TimePoint(from_seconds(settings_.supersede.at_share * settings_.allowed_s)),
-                        [this] { supersede(); });
+  if (settings_.supersede.at_fraction > 0) {
+    events_.schedule_at(
+        TimePoint(from_seconds(settings_.supersede.at_fraction * settings_.allowed_s)),
+        [this] { supersede(); });
   }
   sample();
   while (!finished() && events_.now() < end_ && events_.run_next()) {
@@ -107,12 +108,12 @@
 }
 
 bool BurstSimulation::finished() const {
-  const bool version_is_final = settings_.supersede.at_share == 0 || wanted_version_ == 1;
-  return version_is_final && live_wanted_ == alive_;
+  const bool version_is_final = settings_.supersede.at_fraction == 0 || target_version_ == 1;
+  return version_is_final && live_on_target_ == alive_;
 }
 
 void BurstSimulation::sample() {
-  result_.samples.push_back({to_seconds(events_.now().time_since_epoch()), live_wanted_, alive_,
+  result_.samples.push_back({to_seconds(events_.now().time_since_epoch()), live_on_target_, alive_,
                              traffic_.origin_bytes(), traffic_.totals().peer_bytes,
                              traffic_.totals().inter_region_bytes});
   if (finished()) return;
@@ -120,47 +121,48 @@
                       [this] { sample(); });
 }
 
-void BurstSimulation::remember(const char* what, std::uint32_t subject) {
+void BurstSimulation::record_event(const char* what, std::uint32_t subject) {
   result_.history.push_back(
-      {to_seconds(events_.now().time_since_epoch()), what, subject, wanted_version_});
+      {to_seconds(events_.now().time_since_epoch()), what, subject, target_version_});
 }
 
 void BurstSimulation::schedule_faults() {
   faults_.apply_to(traffic_.network(), settings_.faults);
   for (const ScheduledStall& stall : faults_.stalls) {
-    events_.schedule_at(stall.from, [this, stall] { remember("stalled", stall.machine); });
+    events_.schedule_at(stall.from, [this, stall] { record_event("stalled", stall.machine); });
   }
-  if (faults_.has_cut) {
-    events_.schedule_at(faults_.cut_from, [this] { remember("cut", faults_.cut_region); });
+  if (faults_.has_isolation) {
+    events_.schedule_at(faults_.isolated_from,
+                        [this] { record_event("cut", faults_.isolated_region); });
   }
   for (const auto& [time, machine] : faults_.deaths) {
-    events_.schedule_at(time, [this, victim = machine] {
-      if (alive_ > 1) die(victim);
+    events_.schedule_at(time, [this, killed = machine] {
+      if (alive_ > 1) kill(killed);
     });
   }
 }
 
-void BurstSimulation::die(MachineNumber machine) {
+void BurstSimulation::kill(MachineNumber machine) {
   SimulatedMachine& agent = *machines_[machine];
   if (!agent.alive) return;
   agent.alive = false;
   --alive_;
-  if (agent.live_at_s >= 0) --live_wanted_;
-  remember("died", machine);
-  events_.schedule_in(kDeathSeenAfter, [this] { spread_membership(); });
+  if (agent.live_at_s >= 0) --live_on_target_;
+  record_event("died", machine);
+  events_.schedule_in(kDeathDetectionDelay, [this] { distribute_membership(); });
 }
 
-std::shared_ptr<const SwarmMembership> BurstSimulation::living_members() const {
+std::shared_ptr<const SwarmMembership> BurstSimulation::alive_members() const {
   std::vector<SwarmParticipant> participants;
   for (const auto& machine : machines_) {
     if (!machine->alive) continue;
-    participants.push_back({machine->id, machine->place.region, machine->place.zone});
+    participants.push_back({machine->id, machine->location.region, machine->location.zone});
   }
   return std::make_shared<SwarmMembership>(std::move(participants), settings_.seed);
 }
 
-void BurstSimulation::spread_membership() {
-  membership_ = living_members();
+void BurstSimulation::distribute_membership() {
+  membership_ = alive_members();
   for (MachineNumber machine = 0; machine < settings_.machines; ++machine) {
     if (!machines_[machine]->alive) continue;
     // Each zone has entries of its own, which see their own machines' deaths; what happens
@@ -171,7 +173,7 @@
       if (swarm == nullptr) continue;
       SwarmActions actions;
       swarm->on_membership(membership_, events_.now(), actions);
-      traffic_.carry_out(machine, version, actions);
+      traffic_.execute_actions(machine, version, actions);
     }
   }
 }
@@ -183,12 +185,12 @@
     events_.schedule_at(faults_.api_down_until, [this] { supersede(); });
     return;
   }
-  wanted_version_ = 1;
-  live_wanted_ = 0;
+  target_version_ = 1;
+  live_on_target_ = 0;
   result_.last_order_s = to_seconds(now.time_since_epoch());
   for (const auto& agent : machines_) agent->live_at_s = -1;
   for (MachineNumber machine = 0; machine < settings_.machines; ++machine) {
-    const Duration delay(static_cast<Duration::rep>(random_() % kOrderSpreadUs));
+    const Duration delay(static_cast<Duration::rep>(random_() % kMaximumOrderDelayUs));
     events_.schedule_in(delay, [this, machine] { order(machine, 1); });
   }
 }
@@ -197,7 +199,8 @@
   SimulatedMachine& agent = *machines_[machine];
   if (!agent.alive) return;
   if (!traffic_.network().connected(machine, kOrigin, events_.now())) {
-    events_.schedule_in(kUnreachableAfter, [this, machine, version] { order(machine, version); });
+    events_.schedule_in(kUnreachableDetectionDelay,
+                        [this, machine, version] { order(machine, version); });
     return;
   }
   ReplicaOrder order;
@@ -205,7 +208,7 @@
   order.stage = {std::to_string(version), digest_of(version)};
   order.serve = order.stage;
   order.fence = version + 1;
-  carry_out(machine, agent.replicas.on_orders({order}));
+  execute_actions(machine, agent.replicas.on_orders({order}));
 }
 
 void BurstSimulation::tick(MachineNumber machine) {
@@ -218,7 +221,7 @@
     SwarmActions actions;
     swarm->on_tick(events_.now(), actions);
     busy = busy || !swarm->complete();
-    traffic_.carry_out(machine, version, actions);
+    traffic_.execute_actions(machine, version, actions);
   }
   const Duration interval = busy ? settings_.swarm.announce_interval : kIdleTick;
   events_.schedule_in(interval, [this, machine] { tick(machine); });
@@ -226,13 +229,13 @@
 
 // ---- replica actions ----
 
-void BurstSimulation::carry_out(MachineNumber machine, const ReplicaActions& actions) {
+void BurstSimulation::execute_actions(MachineNumber machine, const ReplicaActions& actions) {
   for (const ReplicaAction& action : actions) {
-    std::visit([&](const auto& typed) { act(machine, typed); }, action);
+    std::visit([&](const auto& typed) { execute(machine, typed); }, action);
   }
 }
 
-void BurstSimulation::act(MachineNumber machine, const StartFetch& action) {
+void BurstSimulation::execute(MachineNumber machine, const StartFetch& action) {
   SimulatedMachine& agent = *machines_[machine];
   const std::uint32_t version = version_of(action.version.digest);
   const ChunkIndex count = settings_.chunk_count();
@@ -252,27 +255,27 @@
   agent.swarms[version] = std::make_unique<Swarm>(options, std::move(have));
   SwarmActions actions;
   agent.swarms[version]->on_membership(membership_, events_.now(), actions);
-  traffic_.carry_out(machine, version, actions);
+  traffic_.execute_actions(machine, version, actions);
   if (agent.ticking) return;
   agent.ticking = true;
   tick(machine);
 }
 
-void BurstSimulation::act(MachineNumber machine, const StopFetch& action) {
+void BurstSimulation::execute(MachineNumber machine, const StopFetch& action) {
   machines_[machine]->swarms[version_of(action.digest)].reset();
 }
 
-void BurstSimulation::act(MachineNumber machine, const CloseAdmission&) {
+void BurstSimulation::execute(MachineNumber machine, const CloseAdmission&) {
   // No requests are simulated here: the model is idle at once.
   events_.schedule_in(Duration(1), [this, machine] {
     SimulatedMachine& agent = *machines_[machine];
-    if (agent.alive) carry_out(machine, agent.replicas.on_idle(kModel));
+    if (agent.alive) execute_actions(machine, agent.replicas.on_idle(kModel));
   });
 }
 
-void BurstSimulation::act(MachineNumber, const OpenAdmission&) {}
+void BurstSimulation::execute(MachineNumber, const OpenAdmission&) {}
 
-void BurstSimulation::act(MachineNumber machine, const ActivateVersion& action) {
+void BurstSimulation::execute(MachineNumber machine, const ActivateVersion& action) {
   SimulatedMachine& agent = *machines_[machine];
   const std::uint32_t version = version_of(action.version.digest);
   for (ChunkIndex chunk = 0; chunk < settings_.chunk_count(); ++chunk) {
@@ -282,31 +285,31 @@
       break;
     }
   }
-  carry_out(machine, agent.replicas.on_activated(kModel, action.version.digest, true, ""));
+  execute_actions(machine, agent.replicas.on_activated(kModel, action.version.digest, true, ""));
 }
 
-void BurstSimulation::act(MachineNumber machine, const DropVersion& action) {
+void BurstSimulation::execute(MachineNumber machine, const DropVersion& action) {
   const std::uint32_t version = version_of(action.digest);
   machines_[machine]->swarms[version].reset();
   machines_[machine]->staged[version].clear();
 }
 
-void BurstSimulation::act(MachineNumber machine, const ReplicaChanged& action) {
+void BurstSimulation::execute(MachineNumber machine, const ReplicaChanged& action) {
   if (action.to != "LIVE") return;
   SimulatedMachine& agent = *machines_[machine];
   const double now_s = to_seconds(events_.now().time_since_epoch());
   const auto version = static_cast<std::uint32_t>(std::stoul(action.version));
   result_.history.push_back({now_s, "live", machine, version});
-  if (version != wanted_version_ || agent.live_at_s >= 0) return;
+  if (version != target_version_ || agent.live_at_s >= 0) return;
   agent.live_at_s = now_s;
-  ++live_wanted_;
+  ++live_on_target_;
 }
 
 void BurstSimulation::on_swarm_complete(MachineNumber machine, std::uint32_t version) {
   // From the queue: the replica core may end this swarm, whose actions are being carried out.
   events_.schedule_in(Duration(0), [this, machine, version] {
     SimulatedMachine& agent = *machines_[machine];
-    if (agent.alive) carry_out(machine, agent.replicas.on_verified(digest_of(version)));
+    if (agent.alive) execute_actions(machine, agent.replicas.on_verified(digest_of(version)));
   });
 }
 
--- a/src/simulation/burst_simulation.h
+++ b/src/simulation/burst_simulation.h
@@ -68,26 +68,26 @@
 
  private:
   void schedule_faults();
-  void die(MachineNumber machine);
+  void kill(MachineNumber machine);
   void supersede();
   void order(MachineNumber machine, std::uint32_t version);
-  std::shared_ptr<const SwarmMembership> living_members() const;
-  void spread_membership();
+  std::shared_ptr<const SwarmMembership> alive_members() const;
+  void distribute_membership();
   void sample();
   void tick(MachineNumber machine);
   bool finished() const;
 
-  void carry_out(MachineNumber machine, const ReplicaActions& actions);
-  void act(MachineNumber machine, const StartFetch& action);
-  void act(MachineNumber machine, const StopFetch& action);
-  void act(MachineNumber machine, const CloseAdmission& action);
-  void act(MachineNumber machine, const OpenAdmission& action);
-  void act(MachineNumber machine, const ActivateVersion& action);
-  void act(MachineNumber machine, const DropVersion& action);
-  void act(MachineNumber machine, const ReplicaChanged& action);
+  void execute_actions(MachineNumber machine, const ReplicaActions& actions);
+  void execute(MachineNumber machine, const StartFetch& action);
+  void execute(MachineNumber machine, const StopFetch& action);
+  void execute(MachineNumber machine, const CloseAdmission& action);
+  void execute(MachineNumber machine, const OpenAdmission& action);
+  void execute(MachineNumber machine, const ActivateVersion& action);
+  void execute(MachineNumber machine, const DropVersion& action);
+  void execute(MachineNumber machine, const ReplicaChanged& action);
 
   void on_swarm_complete(MachineNumber machine, std::uint32_t version);
-  void remember(const char* what, std::uint32_t subject);
+  void record_event(const char* what, std::uint32_t subject);
   BurstSettings settings_;
   const StateChart& replica_chart_;
   std::mt19937_64 random_;
@@ -97,8 +97,8 @@
   SimulatedMachines machines_;
   SwarmTraffic traffic_;
   std::shared_ptr<const SwarmMembership> membership_;
-  std::uint32_t wanted_version_ = 0;
-  std::uint32_t live_wanted_ = 0;
+  std::uint32_t target_version_ = 0;
+  std::uint32_t live_on_target_ = 0;
   std::uint32_t alive_ = 0;
   TimePoint end_;
   BurstResult result_;
--- a/src/simulation/fault_schedule.h
+++ b/src/simulation/fault_schedule.h
@@ -16,16 +16,16 @@
 struct FaultSchedule {
   std::vector<ScheduledStall> stalls;
   std::vector<bool> corrupting;  ///< By machine.
-  bool has_cut = false;
-  std::uint32_t cut_region = 0;
-  TimePoint cut_from{};
-  TimePoint cut_until{};
+  bool has_isolation = false;
+  std::uint32_t isolated_region = 0;
+  TimePoint isolated_from{};
+  TimePoint isolated_until{};
   TimePoint api_down_from{};
   TimePoint api_down_until{};
   /// Machines and times of death, in order, up to the run's time limit.
   std::vector<std::pair<TimePoint, MachineNumber>> deaths;
 
-  static FaultSchedule draw(const BurstSettings& settings);
+  static FaultSchedule generate(const BurstSettings& settings);
   /// Lower bound of the time to all of `survived`, given that a stalled link carries nothing
   /// and that a region that is cut off receives nothing new: seconds.
   double blocked_bound_s(const BurstSettings& settings, const std::vector<bool>& survived) const;
--- a/src/simulation/fleet_layout.h
+++ b/src/simulation/fleet_layout.h
@@ -8,14 +8,14 @@
 namespace pumicemast::simulation {
 
 /// Spreads the machines evenly over all zones, one after the other.
-inline std::vector<MachinePlace> place_machines(const BurstSettings& settings) {
-  std::vector<MachinePlace> places;
+inline std::vector<MachineLocation> assign_locations(const BurstSettings& settings) {
+  std::vector<MachineLocation> locations;
   const std::uint32_t zones = settings.regions * settings.zones_per_region;
   for (std::uint32_t machine = 0; machine < settings.machines; ++machine) {
     const std::uint32_t zone = machine % zones;
-    places.push_back({zone / settings.zones_per_region, zone});
+    locations.push_back({zone / settings.zones_per_region, zone});
   }
-  return places;
+  return locations;
 }
 
 }  // namespace pumicemast::simulation
--- a/src/simulation/network_model.cpp
+++ b/src/simulation/network_model.cpp
@@ -4,7 +4,7 @@
 
 namespace pumicemast::simulation {
 
-TimePoint NetworkModel::Link::book(std::uint64_t bytes, TimePoint earliest) {
+TimePoint NetworkModel::Link::reserve(std::uint64_t bytes, TimePoint earliest) {
   TimePoint start = std::max(earliest, free_at);
   if (start >= stalled_from && start < stalled_until) start = stalled_until;
   const double duration_us =
@@ -16,19 +16,20 @@
   return end;
 }
 
-NetworkModel::NetworkModel(NetworkOptions options, std::vector<MachinePlace> places,
+NetworkModel::NetworkModel(NetworkOptions options, std::vector<MachineLocation> locations,
                            std::uint64_t seed)
     : options_(options),
-      places_(std::move(places)),
+      locations_(std::move(locations)),
       random_(static_cast<std::minstd_rand::result_type>(seed % std::minstd_rand::modulus + 1)) {
   Link machine_link;
   machine_link.bytes_per_second = options_.machine_bytes_per_second;
-  up_.assign(places_.size(), machine_link);
+  up_.assign(locations_.size(), machine_link);
   if (options_.duplex == Duplex::full) down_ = up_;
   origin_.bytes_per_second = options_.origin_bytes_per_second;
   std::uint32_t regions = 0;
-  for (const MachinePlace& place : places_) regions = std::max(regions, place.region + 1);
-  cuts_.resize(regions);
+  for (const MachineLocation& location : locations_)
+    regions = std::max(regions, location.region + 1);
+  isolations_.resize(regions);
   Link ingress;
   ingress.bytes_per_second = options_.region_ingress_bytes_per_second;
   region_ingress_.assign(regions, ingress);
@@ -44,11 +45,11 @@
 
 bool NetworkModel::crosses_regions(MachineNumber from, MachineNumber to) const {
   if (from == kOrigin || to == kOrigin) return true;
-  return places_[from].region != places_[to].region;
+  return locations_[from].region != locations_[to].region;
 }
 
 TimePoint NetworkModel::send(MachineNumber from, std::uint64_t bytes, TimePoint now) {
-  return upstream(from).book(bytes, now);
+  return upstream(from).reserve(bytes, now);
 }
 
 TimePoint NetworkModel::deliver(MachineNumber from, MachineNumber to, std::uint64_t bytes,
@@ -56,15 +57,15 @@
   TimePoint at_receiver = now;
   const bool ingress_limited = options_.region_ingress_bytes_per_second > 0;
   if (ingress_limited && from != kOrigin && crosses_regions(from, to)) {
-    at_receiver = region_ingress_[places_[to].region].book(bytes, at_receiver);
+    at_receiver = region_ingress_[locations_[to].region].reserve(bytes, at_receiver);
   }
   Link& down = downstream(to);
-  if (options_.duplex == Duplex::half) return down.book(bytes, at_receiver) + latency(from, to);
+  if (options_.duplex == Duplex::half) return down.reserve(bytes, at_receiver) + latency(from, to);
   // Cut-through: the receiver's link filled while the sender's still sent.
   const double duration_us = static_cast<double>(bytes) / down.bytes_per_second *
                              static_cast<double>(Duration::period::den);
   const TimePoint first_byte = at_receiver - Duration(static_cast<Duration::rep>(duration_us));
-  return std::max(at_receiver, down.book(bytes, first_byte)) + latency(from, to);
+  return std::max(at_receiver, down.reserve(bytes, first_byte)) + latency(from, to);
 }
 
 TimePoint NetworkModel::after_stalls(MachineNumber machine, TimePoint time) const {
@@ -83,9 +84,9 @@
   Duration base = options_.latency_in_zone;
   if (from == kOrigin || to == kOrigin) {
     base = options_.latency_to_origin;
-  } else if (places_[from].region != places_[to].region) {
+  } else if (locations_[from].region != locations_[to].region) {
     base = options_.latency_between_regions;
-  } else if (places_[from].zone != places_[to].zone) {
+  } else if (locations_[from].zone != locations_[to].zone) {
     base = options_.latency_between_zones;
   }
   constexpr std::uint32_t kSteps = 1000;
@@ -94,14 +95,14 @@
   return Duration(static_cast<Duration::rep>(static_cast<double>(base.count()) * factor));
 }
 
-bool NetworkModel::region_is_cut(std::uint32_t region, TimePoint now) const {
-  return now >= cuts_[region].from && now < cuts_[region].until;
+bool NetworkModel::is_isolated(std::uint32_t region, TimePoint now) const {
+  return now >= isolations_[region].from && now < isolations_[region].until;
 }
 
 bool NetworkModel::connected(MachineNumber from, MachineNumber to, TimePoint now) const {
   if (!crosses_regions(from, to)) return true;
-  if (from != kOrigin && region_is_cut(places_[from].region, now)) return false;
-  return to == kOrigin || !region_is_cut(places_[to].region, now);
+  if (from != kOrigin && is_isolated(locations_[from].region, now)) return false;
+  return to == kOrigin || !is_isolated(locations_[to].region, now);
 }
 
 void NetworkModel::stall(MachineNumber machine, TimePoint from, TimePoint until) {
@@ -111,8 +112,8 @@
   }
 }
 
-void NetworkModel::cut_region(std::uint32_t region, TimePoint from, TimePoint until) {
-  cuts_[region] = {from, until};
+void NetworkModel::isolate_region(std::uint32_t region, TimePoint from, TimePoint until) {
+  isolations_[region] = {from, until};
 }
 
 }  // namespace pumicemast::simulation
--- a/src/simulation/network_model.h
+++ b/src/simulation/network_model.h
@@ -21,7 +21,7 @@
 constexpr MachineNumber kOrigin = UINT32_MAX;
 
 /// How long a sender takes to see that its peer cannot be reached.
-constexpr Duration kUnreachableAfter = seconds(3);
+constexpr Duration kUnreachableDetectionDelay = seconds(3);
 
 enum class Duplex { full, half };
 
@@ -39,14 +39,14 @@
   double latency_jitter = 0.2;
 };
 
-struct MachinePlace {
+struct MachineLocation {
   std::uint32_t region = 0;
   std::uint32_t zone = 0;
 };
 
 class NetworkModel {
  public:
-  NetworkModel(NetworkOptions options, std::vector<MachinePlace> places, std::uint64_t seed);
+  NetworkModel(NetworkOptions options, std::vector<MachineLocation> locations, std::uint64_t seed);
 
   /// Books the sender's link (kOrigin for the origin's) for `bytes`.
   /// @return when the last byte has left it; call deliver() at that time.
@@ -62,7 +62,7 @@
   /// The machine's link carries nothing between the times, without closing anything.
   void stall(MachineNumber machine, TimePoint from, TimePoint until);
   /// The region is cut off from all others and from the origin between the times.
-  void cut_region(std::uint32_t region, TimePoint from, TimePoint until);
+  void isolate_region(std::uint32_t region, TimePoint from, TimePoint until);
 
  private:
   struct Link {
@@ -71,9 +71,9 @@
     TimePoint stalled_from{};
     TimePoint stalled_until{};
     /// Books `bytes` no earlier than `earliest`; returns when the last byte has passed.
-    TimePoint book(std::uint64_t bytes, TimePoint earliest);
+    TimePoint reserve(std::uint64_t bytes, TimePoint earliest);
   };
-  struct RegionCut {
+  struct IsolationPeriod {
     TimePoint from{};
     TimePoint until{};
   };
@@ -81,16 +81,16 @@
   TimePoint after_stalls(MachineNumber machine, TimePoint time) const;
   Link& upstream(MachineNumber machine);
   Link& downstream(MachineNumber machine);
-  bool region_is_cut(std::uint32_t region, TimePoint now) const;
+  bool is_isolated(std::uint32_t region, TimePoint now) const;
   bool crosses_regions(MachineNumber from, MachineNumber to) const;
 
   NetworkOptions options_;
-  std::vector<MachinePlace> places_;
+  std::vector<MachineLocation> locations_;
   std::vector<Link> up_;
   std::vector<Link> down_;  ///< Empty with half duplex.
   Link origin_;
   std::vector<Link> region_ingress_;
-  std::vector<RegionCut> cuts_;
+  std::vector<IsolationPeriod> isolations_;
   std::minstd_rand random_;
 };
 
--- a/src/simulation/origin_model.cpp
+++ b/src/simulation/origin_model.cpp
@@ -23,14 +23,15 @@
 void OriginModel::cancel(const OriginRequest& request) { std::erase(queue_, request); }
 
 void OriginModel::fail(const OriginRequest& request) {
-  events_.schedule_in(kUnreachableAfter, [this, request] { callbacks_.on_failed(request); });
+  events_.schedule_in(kUnreachableDetectionDelay,
+                      [this, request] { callbacks_.on_failed(request); });
 }
 
 void OriginModel::serve() {
   while (!sending_ && !queue_.empty()) {
     const OriginRequest request = queue_.front();
     queue_.pop_front();
-    if (!callbacks_.wanted(request)) continue;
+    if (!callbacks_.is_pending(request)) continue;
     if (network_.connected(request.machine, kOrigin, events_.now())) {
       send(request);
     } else {
--- a/src/simulation/origin_model.h
+++ b/src/simulation/origin_model.h
@@ -22,7 +22,7 @@
  public:
   struct Callbacks {
     /// Whether the caller still waits for its answer when its turn comes.
-    std::function<bool(const OriginRequest&)> wanted;
+    std::function<bool(const OriginRequest&)> is_pending;
     std::function<void(const OriginRequest&)> on_arrived;
     /// The origin cannot be reached; called when the caller has noticed.
     std::function<void(const OriginRequest&)> on_failed;
--- a/src/simulation/simulated_machine.h
+++ b/src/simulation/simulated_machine.h
@@ -25,7 +25,7 @@
   explicit SimulatedMachine(const StateChart& chart) : replicas(chart) {}
 
   PeerId id = 0;
-  MachinePlace place;
+  MachineLocation location;
   bool alive = true;
   ReplicaManager replicas;
   std::array<std::unique_ptr<Swarm>, kVersions> swarms;
--- a/src/simulation/swarm_traffic.cpp
+++ b/src/simulation/swarm_traffic.cpp
@@ -18,7 +18,7 @@
       events_(events),
       random_(random),
       callbacks_(std::move(callbacks)),
-      network_(settings.network, place_machines(settings), settings.seed),
+      network_(settings.network, assign_locations(settings), settings.seed),
       origin_(events_, network_, [this](ChunkIndex chunk) { return weights_.chunk_size(chunk); },
               {[this](const OriginRequest& request) {
                  return swarm_of(request.machine, request.version) != nullptr;
@@ -38,11 +38,11 @@
   return holder.alive ? holder.swarms[version].get() : nullptr;
 }
 
-void SwarmTraffic::carry_out(MachineNumber machine, std::uint32_t version,
-                             const SwarmActions& actions) {
+void SwarmTraffic::execute_actions(MachineNumber machine, std::uint32_t version,
+                                   const SwarmActions& actions) {
   for (const SwarmAction& action : actions) {
     if (swarm_of(machine, version) == nullptr) return;
-    std::visit([&](const auto& typed) { act(machine, version, typed); }, action);
+    std::visit([&](const auto& typed) { execute(machine, version, typed); }, action);
   }
   const Swarm* swarm = swarm_of(machine, version);
   if (swarm == nullptr) return;
@@ -59,7 +59,8 @@
   const bool reachable =
       machines_[receiver]->alive && network_.connected(from, receiver, events_.now());
   if (!reachable) {
-    events_.schedule_in(kUnreachableAfter, [this, from, to] { lose_peer(from, to); });
+    events_.schedule_in(kUnreachableDetectionDelay,
+                        [this, from, to] { report_peer_lost(from, to); });
     return;
   }
   const TimePoint arrival = network_.message(from, receiver, events_.now());
@@ -68,22 +69,22 @@
     if (swarm == nullptr) return;
     SwarmActions actions;
     deliver(*swarm, actions);
-    carry_out(receiver, version, actions);
+    execute_actions(receiver, version, actions);
   });
 }
 
-void SwarmTraffic::lose_peer(MachineNumber machine, PeerId peer) {
+void SwarmTraffic::report_peer_lost(MachineNumber machine, PeerId peer) {
   for (std::uint32_t version = 0; version < kVersions; ++version) {
     Swarm* swarm = swarm_of(machine, version);
     if (swarm == nullptr) continue;
     SwarmActions actions;
     swarm->on_peer_lost(peer, events_.now(), actions);
-    carry_out(machine, version, actions);
+    execute_actions(machine, version, actions);
   }
 }
 
-void SwarmTraffic::act(MachineNumber machine, std::uint32_t version,
-                       const RequestFromPeer& action) {
+void SwarmTraffic::execute(MachineNumber machine, std::uint32_t version,
+                           const RequestFromPeer& action) {
   const PeerId self = machines_[machine]->id;
   const MachineNumber receiver = numbers_.at(action.peer);
   // A peer without this version refuses, as the daemon's shell does.
@@ -94,7 +95,7 @@
       if (swarm == nullptr) return;
       SwarmActions actions;
       swarm->on_refused(action.peer, action.chunk, events_.now(), actions);
-      carry_out(machine, version, actions);
+      execute_actions(machine, version, actions);
     });
     return;
   }
@@ -103,19 +104,20 @@
   });
 }
 
-void SwarmTraffic::act(MachineNumber machine, std::uint32_t version, const CancelFromPeer& action) {
+void SwarmTraffic::execute(MachineNumber machine, std::uint32_t version,
+                           const CancelFromPeer& action) {
   const PeerId self = machines_[machine]->id;
   message(machine, action.peer, version,
           [self, action](Swarm& swarm, SwarmActions&) { swarm.on_cancel(self, action.chunk); });
 }
 
-void SwarmTraffic::act(MachineNumber machine, std::uint32_t version,
-                       const RequestFromOrigin& action) {
+void SwarmTraffic::execute(MachineNumber machine, std::uint32_t version,
+                           const RequestFromOrigin& action) {
   origin_.request({machine, version, action.chunk});
 }
 
-void SwarmTraffic::act(MachineNumber machine, std::uint32_t version,
-                       const CancelFromOrigin& action) {
+void SwarmTraffic::execute(MachineNumber machine, std::uint32_t version,
+                           const CancelFromOrigin& action) {
   origin_.cancel({machine, version, action.chunk});
 }
 
@@ -124,10 +126,10 @@
   if (swarm == nullptr) return;
   SwarmActions actions;
   swarm->on_origin_failed(request.chunk, seconds(1), events_.now(), actions);
-  carry_out(request.machine, request.version, actions);
+  execute_actions(request.machine, request.version, actions);
 }
 
-void SwarmTraffic::act(MachineNumber machine, std::uint32_t version, const SendChunk& action) {
+void SwarmTraffic::execute(MachineNumber machine, std::uint32_t version, const SendChunk& action) {
   const std::uint64_t bytes = weights_.chunk_size(action.chunk);
   const MachineNumber receiver = numbers_.at(action.peer);
   const TimePoint sent = network_.send(machine, bytes, events_.now());
@@ -139,14 +141,14 @@
     if (Swarm* swarm = swarm_of(machine, version)) {
       SwarmActions actions;
       swarm->on_sent(events_.now(), actions);
-      carry_out(machine, version, actions);
+      execute_actions(machine, version, actions);
     }
     if (!held) return;
     const bool reachable =
         machines_[receiver]->alive && network_.connected(machine, receiver, events_.now());
     if (!reachable) {
-      events_.schedule_in(kUnreachableAfter,
-                          [this, machine, action] { lose_peer(machine, action.peer); });
+      events_.schedule_in(kUnreachableDetectionDelay,
+                          [this, machine, action] { report_peer_lost(machine, action.peer); });
       return;
     }
     const TimePoint arrived = network_.deliver(machine, receiver, bytes, events_.now());
@@ -155,7 +157,7 @@
     events_.schedule_at(
         arrived, [this, machine, receiver, version, action, bytes, carried, source] {
           totals_.peer_bytes += bytes;
-          if (machines_[machine]->place.region != machines_[receiver]->place.region) {
+          if (machines_[machine]->location.region != machines_[receiver]->location.region) {
             totals_.inter_region_bytes += bytes;
           }
           receive(receiver, version, source, action.chunk, carried);
@@ -167,24 +169,26 @@
                            std::optional<PeerId> source, ChunkIndex chunk, ContentId content) {
   Swarm* swarm = swarm_of(machine, version);
   if (swarm == nullptr) return;
-  std::bernoulli_distribution corrupted(settings_.faults.corrupt_share);
+  std::bernoulli_distribution corrupted(settings_.faults.corrupt_fraction);
   const bool intact = content == weights_.content_of(version, chunk) && !corrupted(random_);
   // What fails verification never reaches the engine.
   if (intact) machines_[machine]->staged[version][chunk] = content;
   SwarmActions actions;
   swarm->on_chunk(source, chunk, intact ? ChunkArrival::verified : ChunkArrival::corrupt,
                   events_.now(), actions);
-  carry_out(machine, version, actions);
+  execute_actions(machine, version, actions);
 }
 
-void SwarmTraffic::act(MachineNumber machine, std::uint32_t version, const RefuseChunk& action) {
+void SwarmTraffic::execute(MachineNumber machine, std::uint32_t version,
+                           const RefuseChunk& action) {
   const PeerId self = machines_[machine]->id;
   message(machine, action.peer, version, [this, self, action](Swarm& swarm, SwarmActions& actions) {
     swarm.on_refused(self, action.chunk, events_.now(), actions);
   });
 }
 
-void SwarmTraffic::act(MachineNumber machine, std::uint32_t version, const AnnounceChunks& action) {
+void SwarmTraffic::execute(MachineNumber machine, std::uint32_t version,
+                           const AnnounceChunks& action) {
   // One event for all neighbours of a zone: announcements are most of what is sent.
   const auto chunks = std::make_shared<const std::vector<ChunkIndex>>(action.chunks);
   std::map<std::uint32_t, std::vector<MachineNumber>> by_zone;
@@ -192,30 +196,33 @@
     const MachineNumber receiver = numbers_.at(peer);
     ++totals_.messages;
     if (machines_[receiver]->alive && network_.connected(machine, receiver, events_.now())) {
-      by_zone[machines_[receiver]->place.zone].push_back(receiver);
+      by_zone[machines_[receiver]->location.zone].push_back(receiver);
     } else {
-      events_.schedule_in(kUnreachableAfter, [this, machine, peer] { lose_peer(machine, peer); });
+      events_.schedule_in(kUnreachableDetectionDelay,
+                          [this, machine, peer] { report_peer_lost(machine, peer); });
     }
   }
   for (const auto& entry : by_zone) {
     const std::vector<MachineNumber>& receivers = entry.second;
     const TimePoint arrival = network_.message(machine, receivers.front(), events_.now());
     events_.schedule_at(arrival, [this, machine, version, chunks, receivers] {
-      for (const MachineNumber receiver : receivers) hear(receiver, machine, version, *chunks);
+      for (const MachineNumber receiver : receivers)
+        receive_announcement(receiver, machine, version, *chunks);
     });
   }
 }
 
-void SwarmTraffic::hear(MachineNumber receiver, MachineNumber sender, std::uint32_t version,
-                        const std::vector<ChunkIndex>& chunks) {
+void SwarmTraffic::receive_announcement(MachineNumber receiver, MachineNumber sender,
+                                        std::uint32_t version,
+                                        const std::vector<ChunkIndex>& chunks) {
   Swarm* swarm = swarm_of(receiver, version);
   if (swarm == nullptr) return;
   SwarmActions actions;
   swarm->on_peer_has(machines_[sender]->id, chunks, events_.now(), actions);
-  carry_out(receiver, version, actions);
+  execute_actions(receiver, version, actions);
 }
 
-void SwarmTraffic::act(MachineNumber machine, std::uint32_t version, const JoinPeer& action) {
+void SwarmTraffic::execute(MachineNumber machine, std::uint32_t version, const JoinPeer& action) {
   send_join(machine, action.peer, version, false);
 }
 
--- a/src/simulation/swarm_traffic.h
+++ b/src/simulation/swarm_traffic.h
@@ -35,7 +35,7 @@
 
   /// A machine of `machines` has its id now.
   void add_machine(MachineNumber machine);
-  void carry_out(MachineNumber machine, std::uint32_t version, const SwarmActions& actions);
+  void execute_actions(MachineNumber machine, std::uint32_t version, const SwarmActions& actions);
   /// Null while the machine is dead or does not move this version.
   Swarm* swarm_of(MachineNumber machine, std::uint32_t version);
   NetworkModel& network() { return network_; }
@@ -43,29 +43,29 @@
   const TrafficTotals& totals() const { return totals_; }
 
  private:
-  void act(MachineNumber machine, std::uint32_t version, const RequestFromPeer& action);
-  void act(MachineNumber machine, std::uint32_t version, const CancelFromPeer& action);
-  void act(MachineNumber machine, std::uint32_t version, const RequestFromOrigin& action);
-  void act(MachineNumber machine, std::uint32_t version, const CancelFromOrigin& action);
-  void act(MachineNumber machine, std::uint32_t version, const SendChunk& action);
-  void act(MachineNumber machine, std::uint32_t version, const RefuseChunk& action);
-  void act(MachineNumber machine, std::uint32_t version, const AnnounceChunks& action);
-  void act(MachineNumber machine, std::uint32_t version, const JoinPeer& action);
-  void act(MachineNumber machine, std::uint32_t version, const SwarmComplete&) {
+  void execute(MachineNumber machine, std::uint32_t version, const RequestFromPeer& action);
+  void execute(MachineNumber machine, std::uint32_t version, const CancelFromPeer& action);
+  void execute(MachineNumber machine, std::uint32_t version, const RequestFromOrigin& action);
+  void execute(MachineNumber machine, std::uint32_t version, const CancelFromOrigin& action);
+  void execute(MachineNumber machine, std::uint32_t version, const SendChunk& action);
+  void execute(MachineNumber machine, std::uint32_t version, const RefuseChunk& action);
+  void execute(MachineNumber machine, std::uint32_t version, const AnnounceChunks& action);
+  void execute(MachineNumber machine, std::uint32_t version, const JoinPeer& action);
+  void execute(MachineNumber machine, std::uint32_t version, const SwarmComplete&) {
     callbacks_.on_complete(machine, version);
   }
-  void act(MachineNumber machine, std::uint32_t, const PeerAvoided&) {
+  void execute(MachineNumber machine, std::uint32_t, const PeerAvoided&) {
     callbacks_.on_avoided(machine);
   }
 
   /// Delivers a small message, or tells the sender that the peer cannot be reached.
   void message(MachineNumber from, PeerId to, std::uint32_t version,
                std::function<void(Swarm&, SwarmActions&)> deliver);
-  void lose_peer(MachineNumber machine, PeerId peer);
+  void report_peer_lost(MachineNumber machine, PeerId peer);
   void send_join(MachineNumber from, PeerId to, std::uint32_t version, bool reply);
   void on_origin_failed(const OriginRequest& request);
-  void hear(MachineNumber receiver, MachineNumber sender, std::uint32_t version,
-            const std::vector<ChunkIndex>& chunks);
+  void receive_announcement(MachineNumber receiver, MachineNumber sender, std::uint32_t version,
+                            const std::vector<ChunkIndex>& chunks);
   void receive(MachineNumber machine, std::uint32_t version, std::optional<PeerId> source,
                ChunkIndex chunk, ContentId content);
 
--- a/src/simulation/tree_baseline.cpp
+++ b/src/simulation/tree_baseline.cpp
@@ -15,10 +15,10 @@
  public:
   explicit TreeRun(const BurstSettings& settings)
       : settings_(settings),
-        children_(settings.strategy == Strategy::pipeline ? 1 : 2),
-        faults_(FaultSchedule::draw(settings)),
-        places_(place_machines(settings)),
-        network_(settings.network, places_, settings.seed),
+        children_per_machine_(settings.strategy == Strategy::pipeline ? 1 : 2),
+        faults_(FaultSchedule::generate(settings)),
+        locations_(assign_locations(settings)),
+        network_(settings.network, locations_, settings.seed),
         received_(settings.machines, 0),
         alive_(settings.machines, true),
         live_at_s_(settings.machines, -1) {}
@@ -26,10 +26,10 @@
   BurstResult run() {
     faults_.apply_to(network_, settings_.faults);
     for (const auto& [time, machine] : faults_.deaths) {
-      events_.schedule_at(time, [this, victim = machine] { alive_[victim] = false; });
+      events_.schedule_at(time, [this, killed = machine] { alive_[killed] = false; });
     }
     send_from_origin(0);
-    const TimePoint end(from_seconds(settings_.allowed_s * settings_.time_limit_share));
+    const TimePoint end(from_seconds(settings_.allowed_s * settings_.time_limit_factor));
     while (open_transfers_ > 0 && events_.now() < end && events_.run_next()) {
     }
     for (MachineNumber machine = 0; machine < settings_.machines; ++machine) {
@@ -54,13 +54,13 @@
     const TimePoint sent = network_.send(kOrigin, settings_.chunk_bytes, events_.now());
     events_.schedule_at(sent, [this, chunk] {
       result_.origin_bytes += settings_.chunk_bytes;
-      arrive(kOrigin, kRoot);
+      deliver_to(kOrigin, kRoot);
       send_from_origin(chunk + 1);
     });
   }
 
   /// The last byte has left `from`.
-  void arrive(MachineNumber from, MachineNumber to) {
+  void deliver_to(MachineNumber from, MachineNumber to) {
     if (!alive_[to] || !network_.connected(from, to, events_.now())) {
       --open_transfers_;
       return;
@@ -71,25 +71,25 @@
       if (!alive_[to]) return;
       if (from != kOrigin) {
         result_.peer_bytes += settings_.chunk_bytes;
-        const bool crosses = places_[from].region != places_[to].region;
+        const bool crosses = locations_[from].region != locations_[to].region;
         if (crosses) result_.inter_region_bytes += settings_.chunk_bytes;
       }
       if (++received_[to] == settings_.chunk_count()) {
         live_at_s_[to] = to_seconds(events_.now().time_since_epoch());
       }
-      pass_on(to);
+      forward_to_children(to);
     });
   }
 
-  void pass_on(MachineNumber machine) {
-    for (MachineNumber child = 1; child <= children_; ++child) {
-      const MachineNumber receiver = machine * children_ + child;
+  void forward_to_children(MachineNumber machine) {
+    for (MachineNumber child = 1; child <= children_per_machine_; ++child) {
+      const MachineNumber receiver = machine * children_per_machine_ + child;
       if (receiver >= settings_.machines) return;
       ++open_transfers_;
       const TimePoint sent = network_.send(machine, settings_.chunk_bytes, events_.now());
       events_.schedule_at(sent, [this, machine, receiver] {
         if (alive_[machine]) {
-          arrive(machine, receiver);
+          deliver_to(machine, receiver);
         } else {
           --open_transfers_;
         }
@@ -98,9 +98,9 @@
   }
 
   const BurstSettings& settings_;
-  MachineNumber children_;  ///< Of each machine.
+  MachineNumber children_per_machine_;  ///< Of each machine.
   FaultSchedule faults_;
-  std::vector<MachinePlace> places_;
+  std::vector<MachineLocation> locations_;
   EventQueue events_;
   NetworkModel network_;
   std::vector<ChunkIndex> received_;
--- a/tests/simulation/burst_simulation_test.cpp
+++ b/tests/simulation/burst_simulation_test.cpp
@@ -40,12 +40,12 @@
 class BurstSimulationTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(BurstSimulationTest);
   CPPUNIT_TEST(reaches_every_machine_with_one_copy_from_the_origin);
-  CPPUNIT_TEST(same_seed_same_run);
-  CPPUNIT_TEST(serves_only_whole_versions_under_faults_over_200_seeds);
+  CPPUNIT_TEST(the_same_seed_gives_the_same_run);
+  CPPUNIT_TEST(serves_only_complete_versions_under_faults_over_200_seeds);
   CPPUNIT_TEST(a_corrupting_peer_never_stops_the_burst);
-  CPPUNIT_TEST(nothing_is_served_when_verification_is_impossible);
+  CPPUNIT_TEST(serves_nothing_when_every_chunk_is_corrupt);
   CPPUNIT_TEST(beats_the_tree);
-  CPPUNIT_TEST(bounds_are_those_of_the_fluid);
+  CPPUNIT_TEST(bounds_match_the_fluid_model);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -62,7 +62,7 @@
     }
   }
 
-  void same_seed_same_run() {
+  void the_same_seed_gives_the_same_run() {
     const BurstSettings settings = small_burst(kFaults);
     const BurstResult first = run(settings);
     const BurstResult second = run(settings);
@@ -74,7 +74,7 @@
     CPPUNIT_ASSERT(run(other).live_times_s != first.live_times_s);
   }
 
-  void serves_only_whole_versions_under_faults_over_200_seeds() {
+  void serves_only_complete_versions_under_faults_over_200_seeds() {
     BurstSettings settings = small_burst(kFaults);
     std::uint64_t corrupt = 0;
     for (settings.seed = 1; settings.seed <= 200; ++settings.seed) {
@@ -96,10 +96,10 @@
     CPPUNIT_ASSERT(result.corrupt_chunks > 0);
   }
 
-  void nothing_is_served_when_verification_is_impossible() {
+  void serves_nothing_when_every_chunk_is_corrupt() {
     BurstSettings settings = small_burst();
-    settings.faults.corrupt_share = 1;
-    settings.time_limit_share = 2;
+    settings.faults.corrupt_fraction = 1;
+    settings.time_limit_factor = 2;
     const BurstResult result = run(settings);
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{24}, result.never_live);
     CPPUNIT_ASSERT(result.live_times_s.empty());
@@ -107,14 +107,14 @@
 
   void beats_the_tree() {
     BurstSettings settings = small_burst();
-    const BurstResult ours = run(settings);
+    const BurstResult swarm = run(settings);
     settings.strategy = Strategy::tree;
     const BurstResult tree = run_tree_baseline(settings);
     CPPUNIT_ASSERT_EQUAL(std::size_t{24}, tree.live_times_s.size());
-    CPPUNIT_ASSERT(tree.live_times_s.back() > 1.3 * ours.live_times_s.back());
+    CPPUNIT_ASSERT(tree.live_times_s.back() > 1.3 * swarm.live_times_s.back());
   }
 
-  void bounds_are_those_of_the_fluid() {
+  void bounds_match_the_fluid_model() {
     // 330 machines, T = 240 s, the origin carries 4 S and a machine 2 S in it.
     const double bytes = 1e9;
     const double full = fluid_bound_s(Duplex::full, 330, bytes, 4 * bytes / 240, 2 * bytes / 240);
