--- a/src/simulation/burst_planner.cpp
+++ b/src/simulation/burst_planner.cpp
@@ -6,8 +6,8 @@
 namespace pumicemast::simulation {
 namespace {
 
-/// Share of the request window that on average is still on its way when the last chunks are
-/// handed out. Measured on experiments/burst-330.ini (docs/design/swarm.md).
+/// Average fraction of the request window that is still in transfer when the last chunks are
+/// requested, as measured with experiments/burst-330.ini (docs/design/swarm.md).
 constexpr double kTailWindowFraction = 0.5;
 
 std::string limiting_link(const BurstSettings& settings) {
@@ -36,7 +36,7 @@
                        2 * to_seconds(network.latency_between_zones);
   const double per_region =
       std::max(1.0, static_cast<double>(settings.machines) / settings.regions);
-  // The first chunk doubles its holders with every hop until all uplinks have work.
+  // The number of holders of the first chunk doubles with every hop until all uplinks are in use.
   const double start_s = chunk / network.origin_bytes_per_second +
                          std::log2(per_region + 1) * hop_s + (settings.regions > 1 ? chunk_s : 0);
   const double tail_s = kTailWindowFraction * settings.swarm.window * chunk_s;
@@ -48,8 +48,8 @@
   plan.time_to_all_live_s = plan.bound_s + start_s + tail_s;
   plan.time_to_half_live_s = plan.bound_s + start_s + tail_s / 2;
   plan.origin_copies = std::min<double>(settings.swarm.origin_copies, settings.machines);
-  // Each region but the owner's gets one copy; copies from the origin beyond the first fall
-  // into the regions at random.
+  // Each region except the owner's receives one copy from another region. Further copies from the
+  // origin reach regions at random.
   const double regions = settings.regions;
   const double extra = plan.origin_copies - 1;
   const double covered = 1 - std::pow(1 - 1 / regions, extra);
--- a/src/simulation/burst_planner.h
+++ b/src/simulation/burst_planner.h
@@ -1,4 +1,4 @@
-/// Predicts a rollout without running it: times, bytes and the limiting link.
+/// Predicts times, bytes and the limiting link of a rollout without simulating it.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 namespace pumicemast::simulation {
 
 struct BurstPlan {
-  double bound_s = 0;  ///< Fluid lower bound.
+  double bound_s = 0;  ///< Lower bound of the fluid model.
   double time_to_all_live_s = 0;
   double time_to_half_live_s = 0;
   double origin_copies = 0;
--- a/src/simulation/burst_settings.h
+++ b/src/simulation/burst_settings.h
@@ -14,19 +14,19 @@
 const char* to_string(Strategy strategy);
 
 struct FaultSettings {
-  double deaths_per_minute = 0;  ///< Share of the machines.
-  double stall_fraction = 0;     ///< Share of the machines whose link stalls once.
+  double deaths_per_minute = 0;  ///< Fraction of the machines.
+  double stall_fraction = 0;     ///< Fraction of the machines whose link stalls once.
   Duration stall_duration = seconds(30);
-  double corrupt_fraction = 0;  ///< Share of the chunks that arrive corrupt.
-  // Shares of the run, which is the fluid bound of the fleet without faults.
-  double region_isolation_fraction = 0;  ///< How long one region is cut off.
-  double api_down_fraction = 0;          ///< How long the object API is down.
-  double corrupting_peers = 0;           ///< Share of machines that send only corrupt chunks.
+  double corrupt_fraction = 0;  ///< Fraction of the chunks that arrive corrupt.
+  // Durations as fractions of the fluid bound of the fleet without faults.
+  double region_isolation_fraction = 0;  ///< Isolation of one region.
+  double api_down_fraction = 0;          ///< Outage of the object API.
+  double corrupting_peers = 0;           ///< Fraction of machines that send only corrupt chunks.
 };
 
 struct SupersedeSettings {
-  double at_fraction = 0;      ///< Of the allowed time; 0 for never.
-  double shared_chunks = 0.5;  ///< Share of chunks that the next version has in common.
+  double at_fraction = 0;      ///< Fraction of the allowed time; 0 for never.
+  double shared_chunks = 0.5;  ///< Fraction of chunks that both versions have in common.
 };
 
 struct BurstSettings {
@@ -36,7 +36,7 @@
   std::uint64_t model_bytes = 16ULL << 30U;
   std::uint64_t chunk_bytes = 16ULL << 20U;
   double allowed_s = 240;
-  /// Full copies that the origin's and a machine's link carry in the allowed time.
+  /// Copies of the model that the origin's link and a machine's link can carry in the allowed time.
   double origin_copies_allowed = 4;
   double machine_copies_allowed = 2;
   NetworkOptions network;
@@ -45,7 +45,7 @@
   FaultSettings faults;
   SupersedeSettings supersede;
   std::uint64_t seed = 1;
-  double time_limit_factor = 20;  ///< Gives up after this many times the allowed time.
+  double time_limit_factor = 20;  ///< Multiple of the allowed time after which the run ends.
 
   static BurstSettings read(Settings& settings);
 
--- a/src/simulation/burst_simulation.cpp
+++ b/src/simulation/burst_simulation.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr char kModel[] = "model";
-/// How long the entries take to see that a machine died.
+/// Time until the entries detect that a machine died.
 constexpr Duration kDeathDetectionDelay = seconds(3);
-/// Orders reach the agents within this time of being accepted.
+/// Longest time from the acceptance of an order until an agent receives it, in microseconds.
 constexpr std::int64_t kMaximumOrderDelayUs = 50000;
 constexpr Duration kIdleTick = seconds(1);
 constexpr int kSamplesPerAllowedTime = 100;
@@ -21,7 +21,7 @@
 
 std::uint32_t version_of(const std::string& digest) { return digest == digest_of(0) ? 0 : 1; }
 
-/// By chunk, whether both versions have the same bytes there.
+/// For each chunk, whether both versions have the same bytes in it.
 std::vector<bool> choose_shared_chunks(const BurstSettings& settings, std::mt19937_64& random) {
   std::vector<bool> shared(settings.chunk_count());
   std::bernoulli_distribution is_shared(settings.supersede.shared_chunks);
@@ -59,7 +59,7 @@
 
 BurstSimulation::~BurstSimulation() = default;
 
-// ---- the run ----
+// ---- run ----
 
 BurstResult BurstSimulation::run() {
   schedule_faults();
@@ -165,8 +165,8 @@
   membership_ = alive_members();
   for (MachineNumber machine = 0; machine < settings_.machines; ++machine) {
     if (!machines_[machine]->alive) continue;
-    // Each zone has entries of its own, which see their own machines' deaths; what happens
-    // elsewhere reaches a region that is cut off only afterwards.
+    // Each zone has its own entries, which detect the deaths of their own machines. An isolated
+    // region learns of deaths elsewhere only after its isolation.
     if (!traffic_.network().connected(machine, kOrigin, events_.now())) continue;
     for (std::uint32_t version = 0; version < kVersions; ++version) {
       Swarm* swarm = traffic_.swarm_of(machine, version);
@@ -181,7 +181,7 @@
 void BurstSimulation::supersede() {
   const TimePoint now = events_.now();
   if (now >= faults_.api_down_from && now < faults_.api_down_until) {
-    // Nothing is accepted while the object API is down.
+    // No order is accepted during an outage of the object API.
     events_.schedule_at(faults_.api_down_until, [this] { supersede(); });
     return;
   }
@@ -244,7 +244,7 @@
   staged.resize(count, 0);
   const auto& other = agent.staged[1 - version];
   for (ChunkIndex chunk = 0; chunk < count; ++chunk) {
-    // The agent copies what another version at this machine shares.
+    // The agent copies the chunks that it shares with another version on this machine.
     if (!other.empty() && other[chunk] == weights_.content_of(version, chunk))
       staged[chunk] = other[chunk];
     if (staged[chunk] == weights_.content_of(version, chunk)) have.insert(chunk);
@@ -266,7 +266,7 @@
 }
 
 void BurstSimulation::execute(MachineNumber machine, const CloseAdmission&) {
-  // No requests are simulated here: the model is idle at once.
+  // The simulation has no requests, so the model becomes idle immediately.
   events_.schedule_in(Duration(1), [this, machine] {
     SimulatedMachine& agent = *machines_[machine];
     if (agent.alive) execute_actions(machine, agent.replicas.on_idle(kModel));
@@ -279,7 +279,7 @@
   SimulatedMachine& agent = *machines_[machine];
   const std::uint32_t version = version_of(action.version.digest);
   for (ChunkIndex chunk = 0; chunk < settings_.chunk_count(); ++chunk) {
-    // The engine would serve whatever is there: this is the check that nothing is missing.
+    // An engine serves whatever its memory holds, so check that every chunk is correct.
     if (agent.staged[version][chunk] != weights_.content_of(version, chunk)) {
       ++result_.partial_or_mixed_served;
       break;
@@ -306,7 +306,8 @@
 }
 
 void BurstSimulation::on_swarm_complete(MachineNumber machine, std::uint32_t version) {
-  // From the queue: the replica core may end this swarm, whose actions are being carried out.
+  // Runs from the event queue because the replica manager may destroy this swarm, whose actions are
+  // still being executed.
   events_.schedule_in(Duration(0), [this, machine, version] {
     SimulatedMachine& agent = *machines_[machine];
     if (agent.alive) execute_actions(machine, agent.replicas.on_verified(digest_of(version)));
--- a/src/simulation/burst_simulation.h
+++ b/src/simulation/burst_simulation.h
@@ -1,8 +1,8 @@
-/// Simulates one burst: a version reaches every machine of a fleet on virtual time.
+/// Simulates one burst, the distribution of a version to all machines of a fleet, on virtual time.
 ///
 /// Each machine runs the production cores Swarm and ReplicaManager; only sockets, clock,
-/// origin and engine memory are modelled. The simulator keeps what each engine really holds,
-/// so that serving partial or mixed weights would be seen.
+/// origin and engine memory are modelled. The simulator tracks the actual memory contents
+/// of each engine to detect that partial or mixed weights are served.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +21,7 @@
 
 namespace pumicemast::simulation {
 
-/// The state of the burst at one time, for plots.
+/// State of the burst at one time, for plots.
 struct BurstSample {
   double time_s = 0;
   std::uint32_t live = 0;
@@ -31,7 +31,7 @@
   std::uint64_t inter_region_bytes = 0;
 };
 
-/// One event worth telling, for the history.
+/// An event recorded in the history.
 struct BurstEvent {
   double time_s = 0;
   std::string what;  ///< live, died, stalled, cut, superseded, avoided.
@@ -40,11 +40,11 @@
 };
 
 struct BurstResult {
-  std::vector<double> live_times_s;  ///< Of the survivors, in ascending order.
-  std::vector<bool> survived;        ///< By machine.
+  std::vector<double> live_times_s;  ///< Times at which survivors became live, ascending.
+  std::vector<bool> survived;        ///< Indexed by machine.
   std::uint32_t survivors = 0;
-  std::uint32_t never_live = 0;  ///< Survivors that did not get there in time.
-  double last_order_s = 0;       ///< When the version that counts was ordered.
+  std::uint32_t never_live = 0;  ///< Survivors that were not live at the end of the run.
+  double last_order_s = 0;       ///< Time at which the target version was ordered.
   std::uint64_t origin_bytes = 0;
   std::uint64_t peer_bytes = 0;
   std::uint64_t inter_region_bytes = 0;
--- a/src/simulation/event_queue.h
+++ b/src/simulation/event_queue.h
@@ -1,4 +1,4 @@
-/// Virtual time: events in order of their time, equal times in order of scheduling.
+/// Event queue on virtual time. Events with equal times run in the order of scheduling.
 #pragma once
 
 #include <cstdint>
@@ -21,10 +21,10 @@
   void schedule_in(Duration delay, Callback callback) {
     schedule_at(now_ + delay, std::move(callback));
   }
-  /// Runs the next event. @return false when there is none.
+  /// Runs the next event. @return false if there is none.
   bool run_next() {
     if (events_.empty()) return false;
-    // The queue is ordered by time and number alone, so moving the callback out is safe.
+    // The order depends only on time and sequence number, so the callback can be moved out.
     Callback callback = std::move(const_cast<Event&>(events_.top()).callback);
     now_ = events_.top().time;
     events_.pop();
--- a/src/simulation/fault_schedule.cpp
+++ b/src/simulation/fault_schedule.cpp
@@ -64,7 +64,7 @@
     if (machine < survived.size() && !survived[machine]) continue;
     double at_s = std::max(free_s, link_s + stalled_s[machine]);
     if (has_isolation && locations[machine].region == isolated_region) {
-      // What the origin had sent by then is all that the region can exchange meanwhile.
+      // While isolated, the region can exchange only chunks that the origin sent before.
       const double held = std::min(1.0, isolated_from_s / origin_s);
       at_s = std::max(at_s,
                       isolated_until_s + (1 - held) * link_s + stalled_after_isolation_s[machine]);
--- a/src/simulation/fleet_layout.h
+++ b/src/simulation/fleet_layout.h
@@ -1,4 +1,4 @@
-/// Where the machines of a simulated fleet stand.
+/// Locations of the machines of a simulated fleet.
 #pragma once
 
 #include <vector>
@@ -7,7 +7,7 @@
 
 namespace pumicemast::simulation {
 
-/// Spreads the machines evenly over all zones, one after the other.
+/// Distributes the machines round-robin over all zones.
 inline std::vector<MachineLocation> assign_locations(const BurstSettings& settings) {
   std::vector<MachineLocation> locations;
   const std::uint32_t zones = settings.regions * settings.zones_per_region;
--- a/src/simulation/fluid_bound.h
+++ b/src/simulation/fluid_bound.h
@@ -1,4 +1,4 @@
-/// Lower bounds of the time to bring S bytes to N machines, as if bytes were a fluid.
+/// Lower bounds of the time to distribute S bytes to N machines, with bytes modelled as a fluid.
 #pragma once
 
 #include <algorithm>
@@ -8,9 +8,9 @@
 
 namespace pumicemast::simulation {
 
-/// Every machine must receive S; all of it is sent by the origin or by other machines.
-/// @param machines  that end up live.
-/// @return seconds.
+/// Every machine must receive S bytes, sent by the origin or by other machines.
+/// @param machines  number of machines that become live.
+/// @return the bound in seconds.
 inline double fluid_bound_s(Duplex duplex, double machines, double bytes, double origin_rate,
                             double machine_rate) {
   const double wanted = machines * bytes;
@@ -20,8 +20,8 @@
     const double by_sum = wanted / (origin_rate + machines * machine_rate);
     return std::max({by_downlink, by_origin, by_sum});
   }
-  // In: N·S. Out: what the origin does not send. Both pass the machines' shared links:
-  // N·S + (N·S - origin·t) = N·rate·t.
+  // Received: N·S. Sent by machines: all but the origin's part. Both use the machines' shared
+  // links: N·S + (N·S - origin·t) = N·rate·t.
   return 2 * wanted / (machines * machine_rate + origin_rate);
 }
 
--- a/src/simulation/network_model.cpp
+++ b/src/simulation/network_model.cpp
@@ -61,7 +61,7 @@
   }
   Link& down = downstream(to);
   if (options_.duplex == Duplex::half) return down.reserve(bytes, at_receiver) + latency(from, to);
-  // Cut-through: the receiver's link filled while the sender's still sent.
+  // Cut-through: the receiver's link already carries bytes while the sender is still sending.
   const double duration_us = static_cast<double>(bytes) / down.bytes_per_second *
                              static_cast<double>(Duration::period::den);
   const TimePoint first_byte = at_receiver - Duration(static_cast<Duration::rep>(duration_us));
--- a/src/simulation/network_model.h
+++ b/src/simulation/network_model.h
@@ -1,10 +1,10 @@
-/// The modelled network: a link for each machine and one for the origin.
+/// Network model with one link per machine and one for the origin.
 ///
 /// A transfer first occupies the sender's link for its whole size, then the receiver's. Each
 /// link serves first come, first served, at its rate; with half duplex one link carries both
-/// directions. This keeps links busy as TCP with several connections does, and lets a
-/// receiver be offered at most what it has asked for. Not modelled: TCP's start, packet loss
-/// other than whole transfers lost, and queues inside the switches (docs/design/simulation.md).
+/// directions. Links stay busy as with several TCP connections, and a receiver is sent at
+/// most what it requested. Not modelled: TCP slow start, packet loss other than the loss of
+/// complete transfers, and queues in switches (docs/design/simulation.md).
 #pragma once
 
 #include <cstdint>
@@ -16,26 +16,26 @@
 
 namespace pumicemast::simulation {
 
-/// A machine's number in the simulated fleet.
+/// Index of a machine in the simulated fleet.
 using MachineNumber = std::uint32_t;
 constexpr MachineNumber kOrigin = UINT32_MAX;
 
-/// How long a sender takes to see that its peer cannot be reached.
+/// Time until a sender detects that its peer is unreachable.
 constexpr Duration kUnreachableDetectionDelay = seconds(3);
 
 enum class Duplex { full, half };
 
 struct NetworkOptions {
   Duplex duplex = Duplex::full;
-  double machine_bytes_per_second = 0;  ///< Each way (full) or both together (half).
+  double machine_bytes_per_second = 0;  ///< Per direction (full) or for both together (half).
   double origin_bytes_per_second = 0;
-  /// What all transfers into one region from outside share; 0 for no limit.
+  /// Shared limit of all machines' transfers from other regions into a region; 0 for no limit.
   double region_ingress_bytes_per_second = 0;
   Duration latency_in_zone = Duration(250);
   Duration latency_between_zones = Duration(1500);
   Duration latency_between_regions = milliseconds(3);
   Duration latency_to_origin = milliseconds(3);
-  /// Each latency varies by up to this share of itself.
+  /// Maximum deviation of each latency, as a fraction of it.
   double latency_jitter = 0.2;
 };
 
@@ -48,20 +48,20 @@
  public:
   NetworkModel(NetworkOptions options, std::vector<MachineLocation> locations, std::uint64_t seed);
 
-  /// Books the sender's link (kOrigin for the origin's) for `bytes`.
-  /// @return when the last byte has left it; call deliver() at that time.
+  /// Reserves the sender's link (kOrigin for the origin's) for `bytes`.
+  /// @return the time at which the last byte has left; call deliver() then.
   TimePoint send(MachineNumber from, std::uint64_t bytes, TimePoint now);
-  /// Books what follows of a transfer whose last byte left the sender at `now`.
-  /// @return when the whole transfer has reached the receiver.
+  /// Reserves the remaining links of a transfer whose last byte left the sender at `now`.
+  /// @return the time at which the receiver has all bytes.
   TimePoint deliver(MachineNumber from, MachineNumber to, std::uint64_t bytes, TimePoint now);
-  /// When a small message sent at `now` arrives.
+  /// Returns the arrival time of a small message sent at `now`.
   TimePoint message(MachineNumber from, MachineNumber to, TimePoint now);
-  /// Whether anything gets through between the two at `now`.
+  /// Whether the two can communicate at `now`.
   bool connected(MachineNumber from, MachineNumber to, TimePoint now) const;
 
-  /// The machine's link carries nothing between the times, without closing anything.
+  /// Stops the machine's link between the two times without closing connections.
   void stall(MachineNumber machine, TimePoint from, TimePoint until);
-  /// The region is cut off from all others and from the origin between the times.
+  /// Isolates the region from all others and from the origin between the two times.
   void isolate_region(std::uint32_t region, TimePoint from, TimePoint until);
 
  private:
@@ -70,7 +70,7 @@
     TimePoint free_at{};
     TimePoint stalled_from{};
     TimePoint stalled_until{};
-    /// Books `bytes` no earlier than `earliest`; returns when the last byte has passed.
+    /// Reserves the link for `bytes` from `earliest` on; returns the time of the last byte.
     TimePoint reserve(std::uint64_t bytes, TimePoint earliest);
   };
   struct IsolationPeriod {
@@ -87,7 +87,7 @@
   NetworkOptions options_;
   std::vector<MachineLocation> locations_;
   std::vector<Link> up_;
-  std::vector<Link> down_;  ///< Empty with half duplex.
+  std::vector<Link> down_;  ///< Empty for half duplex.
   Link origin_;
   std::vector<Link> region_ingress_;
   std::vector<IsolationPeriod> isolations_;
--- a/src/simulation/origin_model.h
+++ b/src/simulation/origin_model.h
@@ -1,4 +1,4 @@
-/// The modelled origin: requests wait in one queue and are sent one after the other.
+/// Origin model with a single queue: chunks are sent one after the other.
 #pragma once
 
 #include <cstdint>
@@ -21,19 +21,19 @@
 class OriginModel {
  public:
   struct Callbacks {
-    /// Whether the caller still waits for its answer when its turn comes.
+    /// Whether the request is still pending at its machine; queried before its chunk is sent.
     std::function<bool(const OriginRequest&)> is_pending;
     std::function<void(const OriginRequest&)> on_arrived;
-    /// The origin cannot be reached; called when the caller has noticed.
+    /// Called when the requesting machine has detected that the origin is unreachable.
     std::function<void(const OriginRequest&)> on_failed;
   };
 
-  /// @param chunk_size  of a chunk, in bytes.
+  /// @param chunk_size  returns the size of a chunk in bytes.
   OriginModel(EventQueue& events, NetworkModel& network,
               std::function<std::uint64_t(ChunkIndex)> chunk_size, Callbacks callbacks);
 
   void request(const OriginRequest& request);
-  /// The caller hung up. What is being sent already goes on.
+  /// Removes a queued request. A chunk that is already being sent is still delivered.
   void cancel(const OriginRequest& request);
   std::uint64_t bytes_sent() const { return bytes_sent_; }
 
--- a/src/simulation/simulated_machine.h
+++ b/src/simulation/simulated_machine.h
@@ -1,4 +1,4 @@
-/// One simulated machine, and the weights that move between them.
+/// A simulated machine and the simulated weights that machines exchange.
 #pragma once
 
 #include <algorithm>
@@ -13,14 +13,13 @@
 
 namespace pumicemast::simulation {
 
-/// Versions that a burst may move: the first, and the one that supersedes it.
+/// Number of versions in a burst: the first and the one that supersedes it.
 constexpr std::uint32_t kVersions = 2;
 
-/// Stands for the bytes of one chunk; chunks with equal bytes have equal ids. 0: nothing, or
-/// spoilt.
+/// Identifies the bytes of a chunk; equal bytes have equal ids. 0 means missing or corrupt.
 using ContentId = std::uint32_t;
 
-/// The production cores of a machine, and what its engine really holds.
+/// Production cores of a machine and the actual memory contents of its engine.
 struct SimulatedMachine {
   explicit SimulatedMachine(const StateChart& chart) : replicas(chart) {}
 
@@ -29,17 +28,17 @@
   bool alive = true;
   ReplicaManager replicas;
   std::array<std::unique_ptr<Swarm>, kVersions> swarms;
-  std::array<std::vector<ContentId>, kVersions> staged;  ///< What the engine's memory holds.
+  std::array<std::vector<ContentId>, kVersions> staged;  ///< Chunks in the engine's memory.
   bool ticking = false;
-  double live_at_s = -1;  ///< Of the wanted version.
+  double live_at_s = -1;  ///< Time at which the target version became live; -1 before.
 };
 
 using SimulatedMachines = std::vector<std::unique_ptr<SimulatedMachine>>;
 
-/// What the versions consist of.
+/// Chunk contents of the versions.
 class SimulatedWeights {
  public:
-  /// @param shared  by chunk, whether both versions have the same bytes there.
+  /// @param shared  for each chunk, whether both versions have the same bytes in it.
   SimulatedWeights(const BurstSettings& settings, std::vector<bool> shared)
       : settings_(settings), shared_(std::move(shared)) {}
 
--- a/src/simulation/swarm_traffic.cpp
+++ b/src/simulation/swarm_traffic.cpp
@@ -87,7 +87,7 @@
                            const RequestFromPeer& action) {
   const PeerId self = machines_[machine]->id;
   const MachineNumber receiver = numbers_.at(action.peer);
-  // A peer without this version refuses, as the daemon's shell does.
+  // A machine without this version refuses the request, as an agent daemon does.
   if (machines_[receiver]->alive && machines_[receiver]->swarms[version] == nullptr) {
     const TimePoint back = network_.message(receiver, machine, events_.now());
     events_.schedule_at(back, [this, machine, version, action] {
@@ -135,7 +135,7 @@
   const TimePoint sent = network_.send(machine, bytes, events_.now());
   events_.schedule_at(sent, [this, machine, receiver, version, action, bytes] {
     SimulatedMachine& sender = *machines_[machine];
-    if (!sender.alive) return;  // Died in mid-transfer.
+    if (!sender.alive) return;  // The sender died during the transfer.
     const bool held = !sender.staged[version].empty();
     const ContentId content = held ? sender.staged[version][action.chunk] : 0;
     if (Swarm* swarm = swarm_of(machine, version)) {
@@ -171,7 +171,7 @@
   if (swarm == nullptr) return;
   std::bernoulli_distribution corrupted(settings_.faults.corrupt_fraction);
   const bool intact = content == weights_.content_of(version, chunk) && !corrupted(random_);
-  // What fails verification never reaches the engine.
+  // A chunk that fails verification is not written to the engine.
   if (intact) machines_[machine]->staged[version][chunk] = content;
   SwarmActions actions;
   swarm->on_chunk(source, chunk, intact ? ChunkArrival::verified : ChunkArrival::corrupt,
@@ -189,7 +189,7 @@
 
 void SwarmTraffic::execute(MachineNumber machine, std::uint32_t version,
                            const AnnounceChunks& action) {
-  // One event for all neighbours of a zone: announcements are most of what is sent.
+  // One event for all neighbours in a zone, because most messages are announcements.
   const auto chunks = std::make_shared<const std::vector<ChunkIndex>>(action.chunks);
   std::map<std::uint32_t, std::vector<MachineNumber>> by_zone;
   for (const PeerId peer : action.peers) {
--- a/src/simulation/swarm_traffic.h
+++ b/src/simulation/swarm_traffic.h
@@ -1,4 +1,4 @@
-/// Carries the swarms' actions between simulated machines: the shell round the swarm core.
+/// Executes the actions of the swarm cores and transports messages between simulated machines.
 #pragma once
 
 #include <functional>
@@ -23,9 +23,9 @@
 class SwarmTraffic {
  public:
   struct Callbacks {
-    /// All of a version is verified at a machine.
+    /// Called when all chunks of a version are verified at a machine.
     std::function<void(MachineNumber, std::uint32_t version)> on_complete;
-    /// A machine avoids a peer that sent too many corrupt chunks.
+    /// Called when a machine starts to avoid a peer that sent too many corrupt chunks.
     std::function<void(MachineNumber)> on_avoided;
   };
 
@@ -33,10 +33,10 @@
                const SimulatedWeights& weights, SimulatedMachines& machines, EventQueue& events,
                std::mt19937_64& random, Callbacks callbacks);
 
-  /// A machine of `machines` has its id now.
+  /// Registers a machine after its id has been set.
   void add_machine(MachineNumber machine);
   void execute_actions(MachineNumber machine, std::uint32_t version, const SwarmActions& actions);
-  /// Null while the machine is dead or does not move this version.
+  /// Returns null if the machine is dead or has no swarm for this version.
   Swarm* swarm_of(MachineNumber machine, std::uint32_t version);
   NetworkModel& network() { return network_; }
   std::uint64_t origin_bytes() const { return origin_.bytes_sent(); }
@@ -58,7 +58,7 @@
     callbacks_.on_avoided(machine);
   }
 
-  /// Delivers a small message, or tells the sender that the peer cannot be reached.
+  /// Delivers a small message, or reports to the sender that the peer is unreachable.
   void message(MachineNumber from, PeerId to, std::uint32_t version,
                std::function<void(Swarm&, SwarmActions&)> deliver);
   void report_peer_lost(MachineNumber machine, PeerId peer);
--- a/src/simulation/tree_baseline.cpp
+++ b/src/simulation/tree_baseline.cpp
@@ -59,7 +59,7 @@
     });
   }
 
-  /// The last byte has left `from`.
+  /// Called when the last byte of a chunk has left `from`.
   void deliver_to(MachineNumber from, MachineNumber to) {
     if (!alive_[to] || !network_.connected(from, to, events_.now())) {
       --open_transfers_;
@@ -98,7 +98,7 @@
   }
 
   const BurstSettings& settings_;
-  MachineNumber children_per_machine_;  ///< Of each machine.
+  MachineNumber children_per_machine_;  ///< Maximum number of children.
   FaultSchedule faults_;
   std::vector<MachineLocation> locations_;
   EventQueue events_;
--- a/tests/simulation/burst_simulation_test.cpp
+++ b/tests/simulation/burst_simulation_test.cpp
@@ -10,7 +10,7 @@
 namespace pumicemast::simulation {
 namespace {
 
-/// A small fleet that runs in milliseconds.
+/// Settings of a small fleet, simulated within milliseconds.
 BurstSettings small_burst(const std::string& more = "") {
   const tests::TemporaryFolder folder;
   Findings findings;
@@ -84,7 +84,7 @@
       CPPUNIT_ASSERT_EQUAL_MESSAGE(seed, std::uint32_t{0}, result.never_live);
       corrupt += result.corrupt_chunks;
     }
-    CPPUNIT_ASSERT(corrupt > 200);  // The faults did happen.
+    CPPUNIT_ASSERT(corrupt > 200);  // Shows that faults were injected.
   }
 
   void a_corrupting_peer_never_stops_the_burst() {
@@ -115,7 +115,7 @@
   }
 
   void bounds_match_the_fluid_model() {
-    // 330 machines, T = 240 s, the origin carries 4 S and a machine 2 S in it.
+    // 330 machines; in T = 240 s the origin's link carries 4 S and a machine's link 2 S.
     const double bytes = 1e9;
     const double full = fluid_bound_s(Duplex::full, 330, bytes, 4 * bytes / 240, 2 * bytes / 240);
     const double half = fluid_bound_s(Duplex::half, 330, bytes, 4 * bytes / 240, 2 * bytes / 240);
