--- a/src/entry/front_end.cpp
+++ b/src/entry/front_end.cpp
@@ -149,7 +149,8 @@
   return false;
 }
 
-bool FrontEnd::resolve(const CallerRequest& request, RoutingNeed& need, CallerError& error) const {
+bool FrontEnd::resolve(const CallerRequest& request, RoutingRequirements& need,
+                       CallerError& error) const {
   error = CallerError{404, "invalid_request_error", "", "", kOutcomeNotRun};
   if (request.is_model_call) {
     need.affinity = request.affinity;
@@ -183,7 +184,7 @@
         {413, "invalid_request_error", "body_too_large", "The body is too large.", kOutcomeNotRun});
     return;
   }
-  RoutingNeed need;
+  RoutingRequirements need;
   CallerError unresolved;
   if (!resolve(request, need, unresolved)) {
     refuse(*exchange, request, unresolved);
@@ -207,7 +208,7 @@
   caller.priority = limit.priority;
   exchange->on_disconnect([this, number] {
     if (!callers_.contains(number)) return;
-    execute_actions(scheduler_.on_caller_gone(number, loop_now()));
+    execute_actions(scheduler_.on_caller_disconnected(number, loop_now()));
     finish(number, "caller_gone");
   });
   const bool needs_claim = caller.request.non_repeatable && !caller.request.idempotency_key.empty();
@@ -239,9 +240,9 @@
   Caller& caller = callers_.at(number);
   RequestProfile profile;
   CallerError unresolved;
-  resolve(caller.request, profile.need, unresolved);  // Succeeded on admission.
-  if (caller.request.is_model_call && profile.need.model != caller.request.model) {
-    caller.request.body = with_model_name(caller.request.body, profile.need.model);
+  resolve(caller.request, profile.requirements, unresolved);  // Succeeded on admission.
+  if (caller.request.is_model_call && profile.requirements.model != caller.request.model) {
+    caller.request.body = with_model_name(caller.request.body, profile.requirements.model);
   }
   profile.tenant = caller.request.tenant;
   profile.stream = caller.request.stream;
@@ -339,7 +340,7 @@
   hub_.send(action.machine, message);
 }
 
-void FrontEnd::execute(const StartAnswer& action) {
+void FrontEnd::execute(const StartResponse& action) {
   const auto found = callers_.find(action.request);
   if (found == callers_.end()) return;
   Caller& caller = found->second;
@@ -358,7 +359,7 @@
                    loop_now() - caller.started);
 }
 
-void FrontEnd::execute(const AnswerBytes& action) {
+void FrontEnd::execute(const ForwardBytes& action) {
   const auto found = callers_.find(action.request);
   if (found == callers_.end()) return;
   if (found->second.request.stream) {
@@ -368,7 +369,7 @@
   }
 }
 
-void FrontEnd::execute(const FinishAnswer& action) {
+void FrontEnd::execute(const FinishResponse& action) {
   const auto found = callers_.find(action.request);
   if (found == callers_.end()) return;
   Caller& caller = found->second;
@@ -394,7 +395,7 @@
   finish(action.request, error.outcome.c_str());
 }
 
-void FrontEnd::execute(const AbortAnswer& action) {
+void FrontEnd::execute(const AbortStreamedResponse& action) {
   const auto found = callers_.find(action.request);
   if (found == callers_.end()) return;
   Caller& caller = found->second;
--- a/src/entry/front_end.h
+++ b/src/entry/front_end.h
@@ -50,17 +50,17 @@
 
   void admit(const HttpExchangePointer& exchange, CallerRequest request);
   void submit(RequestNumber number);
-  bool resolve(const CallerRequest& request, RoutingNeed& need, CallerError& error) const;
+  bool resolve(const CallerRequest& request, RoutingRequirements& need, CallerError& error) const;
   bool resolve_model(const std::string& name, std::string& model) const;
   void refuse(HttpExchange& exchange, const CallerRequest& request, const CallerError& error);
   void execute_actions(const SchedulerActions& actions);
   void execute(const SubmitToBackend& action);
   void execute(const CancelAtBackend& action);
-  void execute(const StartAnswer& action);
-  void execute(const AnswerBytes& action);
-  void execute(const FinishAnswer& action);
+  void execute(const StartResponse& action);
+  void execute(const ForwardBytes& action);
+  void execute(const FinishResponse& action);
   void execute(const RefuseRequest& action);
-  void execute(const AbortAnswer& action);
+  void execute(const AbortStreamedResponse& action);
   void observe_first_byte(const Caller& caller);
   void finish(RequestNumber number, const char* outcome);
   std::string tenant_label(const std::string& tenant) const;
--- a/src/simulation/swarm_traffic.h
+++ b/src/simulation/swarm_traffic.h
@@ -1,4 +1,4 @@
-/// Carries the swarms' actions between simulated machines: the shell round the swarm core.
+/// Executes the actions of the swarm cores and transports messages between simulated machines.
 #pragma once
 
 #include <functional>
@@ -23,9 +23,9 @@
 class SwarmTraffic {
  public:
   struct Callbacks {
-    /// All of a version is verified at a machine.
+    /// Called when all chunks of a version are verified at a machine.
     std::function<void(MachineNumber, std::uint32_t version)> on_complete;
-    /// A machine avoids a peer that sent too many corrupt chunks.
+    /// Called when a machine starts to avoid a peer that sent too many corrupt chunks.
     std::function<void(MachineNumber)> on_avoided;
   };
 
@@ -33,39 +33,39 @@
                const SimulatedWeights& weights, SimulatedMachines& machines, EventQueue& events,
                std::mt19937_64& random, Callbacks callbacks);
 
-  /// A machine of `machines` has its id now.
+  /// Registers a machine after its id has been set.
   void add_machine(MachineNumber machine);
-  void carry_out(MachineNumber machine, std::uint32_t version, const SwarmActions& actions);
-  /// Null while the machine is dead or does not move this version.
+  void execute_actions(MachineNumber machine, std::uint32_t version, const SwarmActions& actions);
+  /// Returns null if the machine is dead or has no swarm for this version.
   Swarm* swarm_of(MachineNumber machine, std::uint32_t version);
   NetworkModel& network() { return network_; }
   std::uint64_t origin_bytes() const { return origin_.bytes_sent(); }
   const TrafficTotals& totals() const { return totals_; }
 
  private:
-  void act(MachineNumber machine, std::uint32_t version, const RequestFromPeer& action);
-  void act(MachineNumber machine, std::uint32_t version, const CancelFromPeer& action);
-  void act(MachineNumber machine, std::uint32_t version, const RequestFromOrigin& action);
-  void act(MachineNumber machine, std::uint32_t version, const CancelFromOrigin& action);
-  void act(MachineNumber machine, std::uint32_t version, const SendChunk& action);
-  void act(MachineNumber machine, std::uint32_t version, const RefuseChunk& action);
-  void act(MachineNumber machine, std::uint32_t version, const AnnounceChunks& action);
-  void act(MachineNumber machine, std::uint32_t version, const JoinPeer& action);
-  void act(MachineNumber machine, std::uint32_t version, const SwarmComplete&) {
+  void execute(MachineNumber machine, std::uint32_t version, const RequestFromPeer& action);
+  void execute(MachineNumber machine, std::uint32_t version, const CancelFromPeer& action);
+  void execute(MachineNumber machine, std::uint32_t version, const RequestFromOrigin& action);
+  void execute(MachineNumber machine, std::uint32_t version, const CancelFromOrigin& action);
+  void execute(MachineNumber machine, std::uint32_t version, const SendChunk& action);
+  void execute(MachineNumber machine, std::uint32_t version, const RefuseChunk& action);
+  void execute(MachineNumber machine, std::uint32_t version, const AnnounceChunks& action);
+  void execute(MachineNumber machine, std::uint32_t version, const JoinPeer& action);
+  void execute(MachineNumber machine, std::uint32_t version, const SwarmComplete&) {
     callbacks_.on_complete(machine, version);
   }
-  void act(MachineNumber machine, std::uint32_t, const PeerAvoided&) {
+  void execute(MachineNumber machine, std::uint32_t, const PeerAvoided&) {
     callbacks_.on_avoided(machine);
   }
 
-  /// Delivers a small message, or tells the sender that the peer cannot be reached.
+  /// Delivers a small message, or reports to the sender that the peer is unreachable.
   void message(MachineNumber from, PeerId to, std::uint32_t version,
                std::function<void(Swarm&, SwarmActions&)> deliver);
-  void lose_peer(MachineNumber machine, PeerId peer);
+  void report_peer_lost(MachineNumber machine, PeerId peer);
   void send_join(MachineNumber from, PeerId to, std::uint32_t version, bool reply);
   void on_origin_failed(const OriginRequest& request);
-  void hear(MachineNumber receiver, MachineNumber sender, std::uint32_t version,
-            const std::vector<ChunkIndex>& chunks);
+  void receive_announcement(MachineNumber receiver, MachineNumber sender, std::uint32_t version,
+                            const std::vector<ChunkIndex>& chunks);
   void receive(MachineNumber machine, std::uint32_t version, std::optional<PeerId> source,
                ChunkIndex chunk, ContentId content);
 
