--- a/src/commands/command_executor.cpp
+++ b/src/commands/command_executor.cpp
@@ -316,9 +316,8 @@
 void CommandExecutor::resolve_unknown_outcome(const Change& change, int attempt, OnDone on_done) {
   store_.read(change.kind, change.name, [=, this](const ObjectReadResult& read) {
     if (!read.answered) {
-      on_done(
-          failed({ErrorCode::unknown_outcome, change.kind + "/" + change.name,
-                  "no response to the write and the object cannot be read; it may have changed"}));
+      on_done(failed({ErrorCode::unknown_outcome, change.kind + "/" + change.name,
+                      "the answer was lost and the object cannot be read; it may have changed"}));
       return;
     }
     const bool is_own_write = change.deletion
@@ -340,7 +339,7 @@
     }
     if (attempt >= kWriteAttempts) {
       on_done(failed({ErrorCode::unavailable, change.kind + "/" + change.name,
-                      "nothing was changed: the object API does not respond to writes"}));
+                      "nothing was changed: the object API does not answer"}));
       return;
     }
     write(change, attempt + 1, on_done);
--- a/src/commands/query.cpp
+++ b/src/commands/query.cpp
@@ -237,7 +237,7 @@
   const std::string version = held.serve.empty() ? held.stage : held.serve;
   const ReplicaView* replica = backend->replica(command.model, version);
   if (!add("version " + version + " is at the machine", replica != nullptr,
-           replica == nullptr ? "the agent has not reported this version yet"
+           replica == nullptr ? "the order has not reached the agent yet"
                               : number(replica->chunks_verified) + "/" +
                                     number(replica->chunk_count) + " chunks verified")) {
     return table;
--- a/src/entry/front_end.cpp
+++ b/src/entry/front_end.cpp
@@ -25,12 +25,12 @@
     case RefusalCode::shutting_down:
       error.status = 503;
       error.type = "overloaded_error";
-      error.message = "No replica has capacity for the request.";
+      error.message = "No replica has room for the request now.";
       break;
     case RefusalCode::queue_full:
       error.status = 429;
       error.type = "rate_limit_error";
-      error.message = "Too many requests are queued.";
+      error.message = "Too many requests wait already.";
       break;
     case RefusalCode::deadline_passed:
       error.status = 504;
@@ -54,20 +54,19 @@
   switch (result) {
     case ClaimResult::finished:
       error.code = "already_executed";
-      error.message = "A request with this idempotency key has already completed.";
+      error.message = "A request with this idempotency key ran to its end already.";
       error.outcome = kOutcomeCompleted;
       break;
     case ClaimResult::taken:
       error.code = "already_claimed";
-      error.message = "Another attempt with this idempotency key is running or may have run.";
+      error.message = "Another attempt with this idempotency key runs or may have run.";
       error.outcome = kOutcomeUnknown;
       break;
     default:
       error.status = 503;
       error.type = "server_error";
       error.code = "claim_unavailable";
-      error.message =
-          "The platform cannot confirm the claim to a single execution of this request.";
+      error.message = "The single execution of this request cannot be assured now.";
       error.outcome = kOutcomeNotRun;
       error.retry_after = kClaimRetryAfter;
       break;
@@ -195,7 +194,7 @@
     metrics_.count("pumicemast_entry_limited_total",
                    {{"tenant", tenant_label(request.tenant)}, {"limit", limit.reason}});
     refuse(*exchange, request,
-           {429, "rate_limit_error", "tenant_limit", "The tenant's request limit is reached.",
+           {429, "rate_limit_error", "tenant_limit", "The tenant's limit is reached.",
             kOutcomeNotRun, limit.retry_after});
     return;
   }
--- a/src/replica/replica_manager.cpp
+++ b/src/replica/replica_manager.cpp
@@ -54,7 +54,7 @@
     actions.push_back(OpenAdmission{wanted.model, wanted.version.digest});
   }
   if (wanted.state == "STAGED" && step(wanted, "serve_ordered", actions)) {
-    wanted.note = "waiting for requests of the previous version to finish";
+    wanted.note = "waiting for requests of the previous version";
     actions.push_back(CloseAdmission{wanted.model});
   }
 }
@@ -169,7 +169,7 @@
     actions.push_back(CloseAdmission{replica.model});
     step(replica, "engine_lost", actions);
     replica.activation_ordered = false;
-    replica.note = "the engine lost the contents of its memory";
+    replica.note = "the engine lost its memory";
   }
   ReplicaActions more = reconcile();
   std::move(more.begin(), more.end(), std::back_inserter(actions));
--- a/src/rollout/rollout_controller.cpp
+++ b/src/rollout/rollout_controller.cpp
@@ -274,7 +274,7 @@
       const bool lost = is_lost(directory, machine, now);
       if (lost || (backend != nullptr && backend->connected && backend->status.drained)) {
         stop.state = drain_chart_.next(stop.state, "in_flight_zero");
-        stop.note = lost ? "the machine was lost" : "";
+        stop.note = lost ? "the machine is gone" : "";
       }
     }
     if (stop.state == "REQUESTED") {
@@ -298,7 +298,7 @@
             ++admitted_stops[model];
         }
       } else {
-        stop.note = "waiting: fewer live replicas of " + blocker + " than its floor would remain";
+        stop.note = "waits: fewer live replicas of " + blocker + " than its floor would be left";
       }
     }
     if (stop.state != object.value.state || stop.note != object.value.note) {
