--- a/src/simulation/burst_planner.cpp
+++ b/src/simulation/burst_planner.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Average fraction of the request window that is still in transfer when the last chunks are
-/// requested, as measured with experiments/burst-330.ini (docs/design/swarm.md).
+/// requested (docs/design/swarm.md, experiments/burst-330.ini).
 constexpr double kTailWindowFraction = 0.5;
 
 std::string limiting_link(const BurstSettings& settings) {
